--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -1,18 +1,18 @@
-//! What the errors of socket calls tell: of the own machine, of one connection, or of the peer. Numbers and meanings are
-//! those of Linux, as accept(2), connect(2) and send(2) document them.
+//! Classifies errors of socket calls by their cause: the local machine, a single call or connection, or the peer. Numbers
+//! and meanings are those of Linux, as documented in accept(2), connect(2) and send(2).
 
 use std::io;
 
-/// Whom an error tells something of.
+/// The cause of a socket error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tells {
     /// No file descriptor is free, in the process or in the system.
     NoDescriptor,
-    /// The own machine lacks something else: memory, buffers, a local port, a route. Nothing is known of the peer.
+    /// The local machine lacks another resource: memory, buffers, a local port, a route. It says nothing about the peer.
     OwnMachine,
-    /// The call was interrupted, or the connection that it met has ended: the next call may go well at once.
-    OneCall,
-    /// The peer, or the way to it.
+    /// The call was interrupted, or the connection concerned was aborted: the next call may succeed at once.
+    Transient,
+    /// The peer or the network path to it.
     Peer,
 }
 
@@ -31,7 +31,7 @@
 const ENOBUFS: i32 = 105;
 const EAGAIN: i32 = 11;
 
-/// What the error of a call that opens or uses a connection to a peer tells.
+/// Classifies the error of a call that opens or uses a connection to a peer.
 pub fn tells(error: &io::Error) -> Tells {
     match error.raw_os_error() {
         Some(EMFILE | ENFILE) => Tells::NoDescriptor,
@@ -39,14 +39,14 @@
             EPERM | EAGAIN | ENOMEM | EACCES | ENOSPC | EADDRINUSE | EADDRNOTAVAIL | ENETDOWN | ENETUNREACH
             | ENOBUFS,
         ) => Tells::OwnMachine,
-        Some(EINTR | ECONNABORTED) => Tells::OneCall,
+        Some(EINTR | ECONNABORTED) => Tells::Transient,
         _ => Tells::Peer,
     }
 }
 
-/// Whether an error of `accept` is of the connection that was to be taken: Linux passes on what that one met, so that the
-/// next one may be taken at once.
-pub fn is_of_accepted_connection(error: &io::Error) -> bool {
+/// Whether an error of `accept` concerns the connection being accepted rather than the listener. Linux reports pending
+/// network errors of the new connection through `accept`; the caller can accept the next one at once.
+pub fn is_accepted_connection_error(error: &io::Error) -> bool {
     const EPROTO: i32 = 71;
     const ENONET: i32 = 64;
     const ENOPROTOOPT: i32 = 92;
@@ -74,7 +74,8 @@
     )
 }
 
-/// Whether a write that failed so may go well after a moment, with nothing of the peer told.
-pub fn is_passing_in_write(error: &io::Error) -> bool {
+/// Whether a write that failed with this error may succeed shortly after: the local machine lacks buffers or memory, and
+/// the error says nothing about the peer.
+pub fn is_transient_write_error(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(ENOBUFS | ENOMEM))
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets on coroutines of `may`: whole writes and reads against a moment, and pools of idle connections.
+//! Sockets for coroutines of `may`: reads and complete writes with deadlines, and pools of idle connections.
 
 pub mod errors;
 mod sleep;
@@ -21,101 +21,106 @@
 use std::time::{Duration, Instant};
 use tulipstall_http1::{Limits, ResponseHead, ResponseReader};
 
-/// Bytes read at once: a burst of stream events fits.
+/// Size of read buffers in bytes: a burst of stream events fits.
 pub const READ: usize = 4096;
 
-/// Why a conversation with a peer failed.
+/// Why communication with a peer failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing was written: no connection in time, or none at all.
+    /// No connection could be made in time, or at all. Nothing was written.
     NoConnection,
-    /// Nothing was written, and not for the peer's sake: the own machine lacks a descriptor, a port, memory or a route.
+    /// The local machine lacks a file descriptor, a port, memory or a route. Nothing was written, and the error says
+    /// nothing about the peer.
     OwnMachine,
-    /// The moment came first.
+    /// The deadline passed.
     TimedOut,
-    /// It ended or broke; part may have been done.
+    /// The connection ended or broke. The peer may have processed part of the request.
     Broken,
-    /// What came could not be read as what was asked for.
+    /// The response is malformed.
     Rubbish,
 }
 
-/// Starts a coroutine. Its handle is kept for some time after it has ended: `may` may still write to it then
-/// (docs/coroutines.md), which is why nothing here starts one in another way.
-pub fn spawn<T: Send + 'static>(what: impl FnOnce() -> T + Send + 'static) -> JoinHandle<T> {
-    struct Ended(Coroutine);
-    impl Drop for Ended {
+/// Starts a coroutine. All coroutines have to be started by this function: it keeps the coroutine's handle for a while
+/// after the end, as `may` may still write to it then (docs/coroutines.md).
+pub fn spawn<T: Send + 'static>(body: impl FnOnce() -> T + Send + 'static) -> JoinHandle<T> {
+    struct DropGuard(Coroutine);
+    impl Drop for DropGuard {
         fn drop(&mut self) {
-            watch::bury(Box::new(self.0.clone()));
+            watch::defer_drop(Box::new(self.0.clone()));
         }
     }
     may::go!(move || {
-        let _ended = Ended(coroutine::current());
-        what()
+        let _guard = DropGuard(coroutine::current());
+        body()
     })
 }
 
-/// A socket that coroutines wait for. Its number is given back only after its events are: `CoIo` by itself closes
-/// first, and takes away the events of whoever got that number meanwhile. Hence the order of the fields.
-struct Waited<T: AsRawFd> {
+/// A socket that coroutines wait for. The order of the fields matters: the file descriptor is closed only after its events
+/// are deregistered. `CoIo` alone closes it first, and then deregisters the events of a new socket that has been given the
+/// same descriptor meanwhile.
+struct PolledSocket<T: AsRawFd> {
     io: CoIo<Arc<T>>,
     socket: Arc<T>,
-    _held: Held,
+    _open: OpenSocket,
 }
 
-static HELD: AtomicUsize = AtomicUsize::new(0);
+/// Number of [`OpenSocket`] values.
+static OPEN_SOCKETS: AtomicUsize = AtomicUsize::new(0);
 
-/// One of the sockets that the process holds, those included that are shut and buried for a while.
-struct Held;
+/// Counts one open socket of the process, including sockets that are shut and wait for their deferred drop.
+struct OpenSocket;
 
-impl Held {
+impl OpenSocket {
     fn new() -> Self {
-        HELD.fetch_add(1, Ordering::Relaxed);
-        Held
+        OPEN_SOCKETS.fetch_add(1, Ordering::Relaxed);
+        OpenSocket
     }
 }
 
-impl Drop for Held {
+impl Drop for OpenSocket {
     fn drop(&mut self) {
-        HELD.fetch_sub(1, Ordering::Relaxed);
+        OPEN_SOCKETS.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// How many sockets the process holds.
+/// Number of open sockets of the process, including those that are shut and wait for their deferred drop.
 pub fn sockets_held() -> usize {
-    HELD.load(Ordering::Relaxed)
+    OPEN_SOCKETS.load(Ordering::Relaxed)
 }
 
-/// Sets the coroutines up; before the first of them only. With one worker whoever resumes a coroutine has also put
-/// it to wait, so that what ends need not be kept for as long (docs/coroutines.md).
+/// Configures the coroutine runtime. Must be called before the first coroutine starts. With a single worker the thread
+/// that resumes a coroutine is also the one that suspended it, so that drops are deferred for a shorter time
+/// (docs/coroutines.md).
 pub fn set_up(workers: usize, stack_bytes: usize) {
     let config = may::config();
     config.set_workers(workers).set_stack_size(stack_bytes / size_of::<usize>());
-    // A pinned worker waits for whoever else wants its core.
+    // A pinned worker waits whenever another thread occupies its core.
     config.set_worker_pin(false);
-    watch::keep_buried(workers);
+    watch::set_drop_delay(workers);
 }
 
-impl<T: AsRawFd> Waited<T> {
+impl<T: AsRawFd> PolledSocket<T> {
     fn new(socket: T) -> io::Result<Arc<Self>> {
         let socket = Arc::new(socket);
-        Ok(Arc::new(Waited { io: CoIo::new(socket.clone())?, socket, _held: Held::new() }))
+        Ok(Arc::new(PolledSocket { io: CoIo::new(socket.clone())?, socket, _open: OpenSocket::new() }))
     }
 
     fn inner(&self) -> &T {
         &self.socket
     }
 
-    /// Ends a wait, also where the socket does not: of being shut while it is connecting it need not tell.
+    /// Wakes the waiting coroutine. Needed in addition to a shutdown, which need not raise an event on a socket that is still
+    /// connecting.
     fn wake(&self) {
         self.io.waker().wakeup();
     }
 
-    /// Until anything happens; also for nothing, now and then.
+    /// Waits for the next event. Spurious wake-ups occur.
     fn wait(&self) {
         if is_coroutine() {
             self.io.wait_io();
         } else {
-            // Threads are no part of the program's ordinary path; a look now and then does for them.
+            // Plain threads are not on the program's usual path, so polling is good enough.
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -123,33 +128,33 @@
 
 /// A listening socket.
 pub struct Listener {
-    io: Arc<Waited<TcpListener>>,
-    /// Takes what has come so far, and no more.
-    finishes: AtomicBool,
+    io: Arc<PolledSocket<TcpListener>>,
+    /// `accept` returns the connections that are pending, then the listener closes.
+    draining: AtomicBool,
     closed: AtomicBool,
 }
 
 impl Listener {
     pub fn bind(address: SocketAddr) -> io::Result<Listener> {
-        let io = Waited::new(TcpListener::bind(address)?)?;
-        Ok(Listener { io, finishes: AtomicBool::new(false), closed: AtomicBool::new(false) })
+        let io = PolledSocket::new(TcpListener::bind(address)?)?;
+        Ok(Listener { io, draining: AtomicBool::new(false), closed: AtomicBool::new(false) })
     }
 
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.io.inner().local_addr()
     }
 
-    /// The next connection. An error is final if the listener is closed.
+    /// Accepts the next connection. An error is final if [`Listener::is_closed`] holds.
     pub fn accept(&self) -> io::Result<(Link, SocketAddr)> {
         loop {
             if self.is_closed() {
                 return Err(io::ErrorKind::NotConnected.into());
             }
-            let finishes = self.finishes.load(Ordering::Acquire);
+            let draining = self.draining.load(Ordering::Acquire);
             match self.io.inner().accept() {
                 Ok((stream, from)) => return Ok((Link::new(stream)?, from)),
-                Err(error) if errors::is_of_accepted_connection(&error) => {}
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock && finishes => self.close(),
+                Err(error) if errors::is_accepted_connection_error(&error) => {}
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock && draining => self.close(),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.io.wait(),
                 Err(error) => return Err(error),
             }
@@ -160,14 +165,14 @@
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Closes it behind what the system has accepted by then: whoever accepts takes that first, as its clients may have
-    /// asked already.
+    /// Closes the listener once [`Listener::accept`] has returned all connections that the system has already accepted, as
+    /// their clients may have sent requests.
     pub fn finish(&self) {
-        self.finishes.store(true, Ordering::Release);
+        self.draining.store(true, Ordering::Release);
         self.io.wake();
     }
 
-    /// New connections are refused from here on, and who accepts wakes with an error.
+    /// Refuses new connections from now on; a waiting [`Listener::accept`] returns an error.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Release);
         let _ = SockRef::from(self.io.inner()).shutdown(Shutdown::Both);
@@ -178,47 +183,50 @@
 impl Drop for Listener {
     fn drop(&mut self) {
         self.close();
-        watch::bury(Box::new(self.io.clone()));
+        watch::defer_drop(Box::new(self.io.clone()));
     }
 }
 
-/// A socket that one coroutine reads, one writes and any other may shut.
+/// A connection that one coroutine reads, one writes and any other may shut.
 ///
-/// Waiting has no time-out of its own: a link has moments by which its reader and its writer want to go on, and
-/// [`watch`] shuts it when one is past. A link that timed out is dead.
+/// Waits have no time-out of their own: a link has one deadline for reads and one for writes, and [`watch`] shuts it when
+/// either has passed. A link that timed out cannot be used any more.
 #[derive(Clone)]
 pub struct Link {
     inner: Arc<Inner>,
 }
 
 struct Inner {
-    stream: Arc<Waited<TcpStream>>,
-    /// By whoever holds it or by its moment: nothing is waited for any more.
+    stream: Arc<PolledSocket<TcpStream>>,
+    /// Shut by a holder or by an expired deadline: waits end at once.
     shut: AtomicBool,
-    /// A second hold on the socket, for who waits to write while another waits to read.
-    second: OnceLock<Option<Arc<Waited<TcpStream>>>>,
-    /// Microseconds on the watch's clock; `NEVER` while nobody waits.
-    read_by: AtomicU64,
-    write_by: AtomicU64,
-    late: AtomicBool,
+    /// A duplicate of the socket, made for the first write that has to wait: `may` wakes only one coroutine for each
+    /// socket, and another may be waiting to read.
+    write_socket: OnceLock<Option<Arc<PolledSocket<TcpStream>>>>,
+    /// In microseconds since the start of [`watch`]; `NO_DEADLINE` while no read waits.
+    read_deadline: AtomicU64,
+    /// As `read_deadline`, for writes.
+    write_deadline: AtomicU64,
+    /// A deadline has passed, and the link is shut or about to be.
+    timed_out: AtomicBool,
 }
 
-const NEVER: u64 = u64::MAX;
+const NO_DEADLINE: u64 = u64::MAX;
 
-/// How long to wait before another write where the system had no buffer for one.
-const AFTER_NO_BUFFER: Duration = Duration::from_millis(5);
+/// Delay before a write is retried for which the system had no buffer.
+const NO_BUFFER_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Linux: a connection that does not wait is on its way.
+/// Linux error number: a non-blocking connect is in progress.
 const EINPROGRESS: i32 = 115;
 
 impl Inner {
-    /// Wakes whoever waits for it, in either direction; nothing is waited for from then on.
+    /// Shuts the link and wakes its reader and writer; further waits end at once.
     fn shut(&self) {
         self.shut.store(true, Ordering::Release);
         let _ = self.stream.inner().shutdown(Shutdown::Both);
         self.stream.wake();
-        if let Some(Some(second)) = self.second.get() {
-            second.wake();
+        if let Some(Some(write_socket)) = self.write_socket.get() {
+            write_socket.wake();
         }
     }
 
@@ -226,78 +234,80 @@
         self.shut.load(Ordering::Acquire)
     }
 
-    /// Whether one of its moments is past.
-    fn is_due(&self, now: u64) -> bool {
-        self.read_by.load(Ordering::SeqCst).min(self.write_by.load(Ordering::SeqCst)) <= now
+    /// Whether the read or the write deadline has passed.
+    fn is_expired(&self, now: u64) -> bool {
+        self.read_deadline.load(Ordering::SeqCst).min(self.write_deadline.load(Ordering::SeqCst)) <= now
     }
 
-    /// Shuts it once a moment is past, unless whoever waited goes on meanwhile: one of the two sees the other, as each
-    /// writes before it looks. Holds against bytes that come in that very moment and are read, though nobody can be
-    /// answered any more.
-    fn shut_if_due(&self, now: u64) {
-        self.shut_if_still_due(now, || {});
+    /// Shuts the link if a deadline has passed, unless the waiting coroutine resumes meanwhile. Either this function sees
+    /// that the deadline was cleared, or the coroutine sees `timed_out`, as each stores before it loads. Without this,
+    /// bytes that arrive just at the deadline would be read from a link that is then shut, and could not be answered.
+    fn shut_if_expired(&self, now: u64) {
+        self.shut_if_still_expired(now, || {});
     }
 
-    /// With what happens between its two looks.
-    fn shut_if_still_due(&self, now: u64, between: impl FnOnce()) {
-        if self.is_due(now) && !self.late.swap(true, Ordering::SeqCst) {
+    /// As [`Inner::shut_if_expired`]; `between` runs between the two checks of the deadline, for tests.
+    fn shut_if_still_expired(&self, now: u64, between: impl FnOnce()) {
+        if self.is_expired(now) && !self.timed_out.swap(true, Ordering::SeqCst) {
             between();
-            if self.is_due(now) {
+            if self.is_expired(now) {
                 self.shut();
             } else {
-                self.late.store(false, Ordering::SeqCst);
+                self.timed_out.store(false, Ordering::SeqCst);
             }
         }
     }
 
-    /// What was read from it is somebody's: nobody has shut it, nor does its moment.
-    fn goes_on(&self) -> bool {
-        !self.is_shut() && !self.late.load(Ordering::SeqCst)
+    /// Whether bytes that were read may be returned: the link is neither shut nor timed out.
+    fn is_usable(&self) -> bool {
+        !self.is_shut() && !self.timed_out.load(Ordering::SeqCst)
     }
 }
 
 impl Drop for Inner {
     fn drop(&mut self) {
         let _ = self.stream.inner().shutdown(Shutdown::Both);
-        watch::bury(Box::new((self.stream.clone(), self.second.take())));
+        watch::defer_drop(Box::new((self.stream.clone(), self.write_socket.take())));
     }
 }
 
 impl Link {
     pub fn new(stream: TcpStream) -> io::Result<Self> {
-        let link = Self::unwatched(stream)?;
+        let link = Self::new_unwatched(stream)?;
         watch::add(&link.inner);
         Ok(link)
     }
 
-    /// Its moments are nobody's yet.
-    fn unwatched(stream: TcpStream) -> io::Result<Self> {
-        // A delta is small and wanted at once; where it fails the link still works.
+    /// A link whose deadlines are not watched yet.
+    fn new_unwatched(stream: TcpStream) -> io::Result<Self> {
+        // Stream deltas are small and must be sent at once. Without the option the link still works.
         let _ = stream.set_nodelay(true);
-        let (read_by, write_by) = (AtomicU64::new(NEVER), AtomicU64::new(NEVER));
-        let (stream, second) = (Waited::new(stream)?, OnceLock::new());
-        let (shut, late) = (AtomicBool::new(false), AtomicBool::new(false));
-        Ok(Link { inner: Arc::new(Inner { stream, shut, second, read_by, write_by, late }) })
+        let (read_deadline, write_deadline) = (AtomicU64::new(NO_DEADLINE), AtomicU64::new(NO_DEADLINE));
+        let (stream, write_socket) = (PolledSocket::new(stream)?, OnceLock::new());
+        let (shut, timed_out) = (AtomicBool::new(false), AtomicBool::new(false));
+        Ok(Link {
+            inner: Arc::new(Inner { stream, shut, write_socket, read_deadline, write_deadline, timed_out }),
+        })
     }
 
     /// Connects to an address.
-    pub fn connect(address: &SocketAddr, within: Duration) -> Result<Link, Fault> {
-        if within.is_zero() {
+    pub fn connect(address: &SocketAddr, timeout: Duration) -> Result<Link, Fault> {
+        if timeout.is_zero() {
             return Err(Fault::NoConnection);
         }
         let fault = |error: io::Error| match errors::tells(&error) {
             Tells::NoDescriptor | Tells::OwnMachine => Fault::OwnMachine,
-            Tells::OneCall | Tells::Peer => Fault::NoConnection,
+            Tells::Transient | Tells::Peer => Fault::NoConnection,
         };
-        Self::connect_by(address, Instant::now() + within).map_err(fault)
+        Self::connect_until(address, Instant::now() + timeout).map_err(fault)
     }
 
-    fn connect_by(address: &SocketAddr, until: Instant) -> io::Result<Link> {
+    fn connect_until(address: &SocketAddr, until: Instant) -> io::Result<Link> {
         let socket = Socket::new(Domain::for_address(*address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         if let Err(error) = socket.connect(&(*address).into())
             && error.raw_os_error() != Some(EINPROGRESS)
-            // Interrupted, it goes on by itself.
+            // An interrupted connect continues in the background.
             && error.kind() != io::ErrorKind::Interrupted
         {
             return Err(error);
@@ -320,67 +330,73 @@
         }
     }
 
-    /// Wakes whoever reads or writes it, with an end.
+    /// Shuts the link in both directions. A waiting read or write returns an error.
     pub fn shut(&self) {
         self.inner.shut();
     }
 
-    /// Tells the peer that nothing more comes, and reads nothing more of what it says.
+    /// Shuts the write direction, so that the peer sees the end after all bytes written before. Reads fail from now on.
     pub fn finish(&self) {
         self.inner.shut.store(true, Ordering::SeqCst);
         let _ = self.inner.stream.inner().shutdown(Shutdown::Write);
         self.inner.stream.wake();
     }
 
-    /// Moves the moment by which a read that is being waited for must have come.
+    /// Sets or clears the deadline of a read that is waiting.
     pub fn read_by(&self, until: Option<Instant>) {
-        self.inner.read_by.store(until.map_or(NEVER, watch::at), Ordering::SeqCst);
+        self.inner.read_deadline.store(until.map_or(NO_DEADLINE, watch::deadline_micros), Ordering::SeqCst);
     }
 
-    /// As [`Link::read_by`] where the moment is later, or there is none; nothing while no read is waited for.
+    /// Brings the deadline of a waiting read forward to `until`. Does nothing if the deadline is earlier already, or if no
+    /// read is waiting with one.
     pub fn read_by_at_most(&self, until: Instant) {
-        let by = watch::at(until);
-        let shorter = |was: u64| (was != NEVER && was > by).then_some(by);
-        let _ = self.inner.read_by.fetch_update(Ordering::SeqCst, Ordering::SeqCst, shorter);
+        let new = watch::deadline_micros(until);
+        let shortened = |current: u64| (current != NO_DEADLINE && current > new).then_some(new);
+        let _ = self.inner.read_deadline.fetch_update(Ordering::SeqCst, Ordering::SeqCst, shortened);
     }
 
     fn fault(&self) -> Fault {
-        if self.inner.late.load(Ordering::Acquire) { Fault::TimedOut } else { Fault::Broken }
+        if self.inner.timed_out.load(Ordering::Acquire) { Fault::TimedOut } else { Fault::Broken }
     }
 
-    /// Reads what has come, at least a byte; 0 at the end. What came to a link that is shut is nobody's: whoever shut it
-    /// counts on that.
+    /// Reads the bytes that have arrived, at least one; 0 at the end of the stream. A link that is shut returns an error even
+    /// if bytes have arrived: the holder that shuts it relies on that.
     pub fn read(&self, into: &mut [u8], until: Instant) -> Result<usize, Fault> {
         self.read_until(into, Some(until))
     }
 
-    /// As [`Link::read`], for as long as it takes where no moment is given.
+    /// As [`Link::read`]; without a deadline it waits for as long as it takes.
     pub fn read_until(&self, into: &mut [u8], until: Option<Instant>) -> Result<usize, Fault> {
         self.read_while(into, || until)
     }
 
-    /// As [`Link::read_until`], by a moment that may come closer meanwhile: whoever moves it changes what it is made of
-    /// and then calls [`Link::read_by_at_most`]. It is looked at again once it holds, so that either sees the other.
-    pub fn read_while(&self, into: &mut [u8], moment: impl Fn() -> Option<Instant>) -> Result<usize, Fault> {
+    /// As [`Link::read_until`], with a deadline that may be brought forward during the wait. To do so, change the state that
+    /// `deadline` reads and then call [`Link::read_by_at_most`]. `deadline` is evaluated again once it has been set, so that
+    /// a change at that very moment is not missed.
+    pub fn read_while(
+        &self,
+        into: &mut [u8],
+        deadline: impl Fn() -> Option<Instant>,
+    ) -> Result<usize, Fault> {
         let stream = &self.inner.stream;
         loop {
-            if !self.inner.goes_on() {
+            if !self.inner.is_usable() {
                 return Err(self.fault());
             }
             match stream.inner().read(into) {
-                Ok(got) if got == 0 || self.inner.goes_on() => return Ok(got),
+                Ok(got) if got == 0 || self.inner.is_usable() => return Ok(got),
                 Ok(_) => return Err(self.fault()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // Waiting for what happens needs no sole hold on the socket, so that others may shut it.
+                // Waiting for an event needs no exclusive access to the socket, so that others can shut it.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    let until = moment();
+                    let until = deadline();
                     if until.is_some_and(|until| until <= Instant::now()) {
                         return Err(Fault::TimedOut);
                     }
-                    // Without one of its own, a moment that somebody else set meanwhile holds.
+                    // Without a deadline of its own, the read leaves in force one that was set by `read_by`.
                     if until.is_some() {
                         self.read_by(until);
-                        moment().into_iter().for_each(|until| self.read_by_at_most(until));
+                        deadline().into_iter().for_each(|until| self.read_by_at_most(until));
                     }
                     stream.wait();
                     self.read_by(None);
@@ -390,63 +406,63 @@
         }
     }
 
-    /// Writes all of it. `NoConnection` if provably no byte left.
+    /// Writes all bytes. Returns `NoConnection` if provably no byte was sent.
     pub fn write(&self, mut bytes: &[u8], until: Instant) -> Result<(), Fault> {
-        let mut any = false;
+        let mut sent_any = false;
         while !bytes.is_empty() {
             let written = match self.inner.stream.inner().write(bytes) {
-                // Full: a second hold on the socket waits for room, while the first may be waited on to read.
+                // The send buffer is full: waits on the duplicate socket, as a reader may be waiting on the first.
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     if until <= Instant::now() {
-                        return Err(if any { Fault::TimedOut } else { Fault::NoConnection });
+                        return Err(if sent_any { Fault::TimedOut } else { Fault::NoConnection });
                     }
-                    self.inner.write_by.store(watch::at(until), Ordering::Release);
-                    let written = self.write_when_free(bytes);
-                    self.inner.write_by.store(NEVER, Ordering::Release);
+                    self.inner.write_deadline.store(watch::deadline_micros(until), Ordering::Release);
+                    let written = self.write_when_ready(bytes);
+                    self.inner.write_deadline.store(NO_DEADLINE, Ordering::Release);
                     written
                 }
                 written => written,
             };
             match written {
-                Ok(0) => return Err(if any { self.fault() } else { Fault::NoConnection }),
-                Ok(put) => {
-                    any = true;
-                    bytes = &bytes[put..];
+                Ok(0) => return Err(if sent_any { self.fault() } else { Fault::NoConnection }),
+                Ok(count) => {
+                    sent_any = true;
+                    bytes = &bytes[count..];
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if errors::is_passing_in_write(&error) && Instant::now() < until => {
-                    sleep(AFTER_NO_BUFFER);
+                Err(error) if errors::is_transient_write_error(&error) && Instant::now() < until => {
+                    sleep(NO_BUFFER_RETRY_DELAY);
                 }
-                Err(_) => return Err(if any { self.fault() } else { Fault::NoConnection }),
+                Err(_) => return Err(if sent_any { self.fault() } else { Fault::NoConnection }),
             }
         }
         Ok(())
     }
 
-    /// Waits for room and writes into it. Room may come while nobody waits: what was seen then is kept, so that
-    /// the first wait may be for nothing.
-    fn write_when_free(&self, bytes: &[u8]) -> io::Result<usize> {
-        let second = self
+    /// Waits for room in the send buffer and writes into it. An event that came while no coroutine waited stays pending, so
+    /// that the first wait may return at once with no room.
+    fn write_when_ready(&self, bytes: &[u8]) -> io::Result<usize> {
+        let write_socket = self
             .inner
-            .second
-            .get_or_init(|| self.inner.stream.inner().try_clone().and_then(Waited::new).ok());
-        let Some(second) = second else { return Err(io::ErrorKind::NotConnected.into()) };
+            .write_socket
+            .get_or_init(|| self.inner.stream.inner().try_clone().and_then(PolledSocket::new).ok());
+        let Some(write_socket) = write_socket else { return Err(io::ErrorKind::NotConnected.into()) };
         loop {
-            second.wait();
-            match second.inner().write(bytes) {
+            write_socket.wait();
+            match write_socket.inner().write(bytes) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock && !self.inner.is_shut() => {}
                 written => return written,
             }
         }
     }
 
-    /// Writes what the socket takes at once; how many bytes that was.
+    /// Writes as many bytes as the socket takes without waiting, and returns their number.
     pub fn write_now(&self, bytes: &[u8]) -> usize {
         self.inner.stream.inner().write(bytes).unwrap_or(0)
     }
 
-    /// Whether the peer has ended it, as far as that can be seen before what it said is read: seen here at once, also
-    /// where whoever reads has not had its turn yet.
+    /// Whether the peer has closed or reset the connection, as far as that can be seen before pending bytes are read. It is
+    /// seen here at once, even if the reading coroutine has not been scheduled yet.
     pub fn ended(&self) -> bool {
         match self.inner.stream.inner().peek(&mut [0; 1]) {
             Ok(got) => got == 0,
@@ -454,10 +470,10 @@
         }
     }
 
-    /// Whether the peer has closed it, or said something unasked: not to be used again either way.
+    /// Whether the peer has closed an idle connection or sent unrequested bytes: it must not be reused in either case.
     pub fn stale(&self) -> bool {
         let mut byte = [0; 1];
-        // The socket below never blocks; nothing to read is what is wanted.
+        // The socket is non-blocking: `WouldBlock` means open and with nothing to read.
         !matches!(self.inner.stream.inner().peek(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 }
@@ -465,67 +481,68 @@
 /// Idle connections to one peer.
 pub struct Pool {
     address: SocketAddr,
-    most: usize,
-    idle_for: Duration,
+    max_idle: usize,
+    max_idle_time: Duration,
     idle: Mutex<Vec<(Link, Instant)>>,
 }
 
 impl Pool {
-    pub fn new(address: SocketAddr, most: usize, idle_for: Duration) -> Self {
-        Pool { address, most, idle_for, idle: Mutex::new(Vec::new()) }
+    pub fn new(address: SocketAddr, max_idle: usize, max_idle_time: Duration) -> Self {
+        Pool { address, max_idle, max_idle_time, idle: Mutex::new(Vec::new()) }
     }
 
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// An idle connection that still seems sound.
+    /// Takes an idle connection that is neither too old nor stale.
     pub fn idle(&self) -> Option<Link> {
         self.idle_if(|_| true).map(|(link, _)| link)
     }
 
-    /// The one used last of those whose idleness is good enough, and how long that was.
+    /// Takes the most recently used idle connection whose idle time `good` accepts, and returns it with that time.
     pub fn idle_if(&self, good: impl Fn(Duration) -> bool) -> Option<(Link, Duration)> {
         let now = Instant::now();
         loop {
             let (link, since) = {
                 let mut idle = self.idle.lock().ok()?;
-                let at = idle.iter().rposition(|(_, since)| good(now.duration_since(*since)))?;
-                idle.remove(at)
+                let index = idle.iter().rposition(|(_, since)| good(now.duration_since(*since)))?;
+                idle.remove(index)
             };
-            let was = now.duration_since(since);
-            if was < self.idle_for && !link.stale() {
-                return Some((link, was));
+            let idle_time = now.duration_since(since);
+            if idle_time < self.max_idle_time && !link.stale() {
+                return Some((link, idle_time));
             }
         }
     }
 
-    /// An idle connection, else a new one.
-    pub fn take(&self, within: Duration) -> Result<Link, Fault> {
+    /// Takes an idle connection, or opens a new one.
+    pub fn take(&self, timeout: Duration) -> Result<Link, Fault> {
         match self.idle() {
             Some(link) => Ok(link),
-            None => Link::connect(&self.address, within),
+            None => Link::connect(&self.address, timeout),
         }
     }
 
-    /// Whether any is idle.
+    /// Whether the pool holds any connection.
     pub fn any(&self) -> bool {
         self.idle.lock().is_ok_and(|idle| !idle.is_empty())
     }
 
+    /// Returns a connection to the pool; closes it if the pool is full.
     pub fn put(&self, link: Link) {
         if let Ok(mut idle) = self.idle.lock()
-            && idle.len() < self.most
+            && idle.len() < self.max_idle
         {
             idle.push((link, Instant::now()));
         }
     }
 
-    /// Lets go of those that were idle for too long, or that the peer has closed.
+    /// Closes connections that have been idle for too long or are stale.
     pub fn trim(&self) {
         let now = Instant::now();
         if let Ok(mut idle) = self.idle.lock() {
-            idle.retain(|(link, since)| now.duration_since(*since) < self.idle_for && !link.stale());
+            idle.retain(|(link, since)| now.duration_since(*since) < self.max_idle_time && !link.stale());
         }
     }
 
@@ -536,7 +553,7 @@
     }
 }
 
-/// One response on its way over a link.
+/// One HTTP response that is being received over a link.
 pub struct Reply {
     pub link: Link,
     pub reader: ResponseReader,
@@ -547,9 +564,9 @@
         Reply { link, reader: ResponseReader::new(limits) }
     }
 
-    // A frame of its own: its buffer is on the stack only while it is read into.
+    // Never inlined: keeps the buffer on the stack only during the read.
     #[inline(never)]
-    fn more(&mut self, until: &dyn Fn() -> Instant) -> Result<(), Fault> {
+    fn read_more(&mut self, until: &dyn Fn() -> Instant) -> Result<(), Fault> {
         let mut buffer = [0; READ];
         match self.link.read_while(&mut buffer, || Some(until()))? {
             0 => Err(Fault::Broken),
@@ -560,34 +577,35 @@
         }
     }
 
+    /// Reads up to the end of the response head.
     pub fn head(&mut self, until: Instant) -> Result<ResponseHead, Fault> {
         loop {
             match self.reader.head() {
                 Ok(Some(head)) => return Ok(head),
-                Ok(None) => self.more(&|| until)?,
+                Ok(None) => self.read_more(&|| until)?,
                 Err(_) => return Err(Fault::Rubbish),
             }
         }
     }
 
-    /// As [`Reply::head`]; once it has begun to come it is here within so long, or it is rubbish.
-    pub fn head_begun(&mut self, until: Instant, within: Duration) -> Result<ResponseHead, Fault> {
+    /// As [`Reply::head`]; a head that has begun to arrive and is not complete within `timeout` counts as malformed.
+    pub fn head_begun(&mut self, until: Instant, timeout: Duration) -> Result<ResponseHead, Fault> {
         if !self.reader.any() {
-            self.more(&|| until)?;
+            self.read_more(&|| until)?;
         }
-        let by = Instant::now() + within;
-        self.head(until.min(by)).map_err(|fault| match fault {
-            Fault::TimedOut if by < until => Fault::Rubbish,
+        let complete_by = Instant::now() + timeout;
+        self.head(until.min(complete_by)).map_err(|fault| match fault {
+            Fault::TimedOut if complete_by < until => Fault::Rubbish,
             other => other,
         })
     }
 
-    /// Appends what comes of the body, waiting for at least a byte of it; true once it has ended.
+    /// Appends the part of the body that has arrived, waiting for at least one byte. Returns true once the body has ended.
     pub fn body(&mut self, out: &mut Vec<u8>, until: Instant) -> Result<bool, Fault> {
         self.body_while(out, &|| until)
     }
 
-    /// As [`Reply::body`], by a moment that may come closer meanwhile.
+    /// As [`Reply::body`], with a deadline that may be brought forward during the wait, see [`Link::read_while`].
     pub fn body_while(&mut self, out: &mut Vec<u8>, until: &dyn Fn() -> Instant) -> Result<bool, Fault> {
         let before = out.len();
         loop {
@@ -595,13 +613,14 @@
             if done || out.len() > before {
                 return Ok(done);
             }
-            match self.more(until) {
+            match self.read_more(until) {
                 Err(Fault::Broken) if self.reader.ends_with_connection() => return Ok(true),
                 other => other?,
             }
         }
     }
 
+    /// Reads the body to its end.
     pub fn whole_body(&mut self, until: Instant) -> Result<Vec<u8>, Fault> {
         let mut out = Vec::new();
         while !self.body(&mut out, until)? {}
--- a/crates/net/src/sleep.rs
+++ b/crates/net/src/sleep.rs
@@ -1,5 +1,5 @@
-//! Sleeping coroutines. The timers of `may` lose count of their own entries under load, after which its timer thread
-//! is gone and every sleeper sleeps for ever (docs/coroutines.md); this is one thread with a heap.
+//! Sleep for coroutines: one timer thread with a heap. The timers of `may` are not used, as they miscount the references
+//! to their entries under load; its timer thread then panics and sleeping coroutines never wake (docs/coroutines.md).
 
 use may::coroutine::is_coroutine;
 use may::sync::Blocker;
@@ -9,14 +9,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A sleeping coroutine, ordered by its wake-up time.
 struct Sleeper {
-    until: Instant,
+    wake_at: Instant,
     blocker: Arc<Blocker>,
 }
 
 impl Ord for Sleeper {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.until.cmp(&other.until)
+        self.wake_at.cmp(&other.wake_at)
     }
 }
 
@@ -28,68 +29,69 @@
 
 impl PartialEq for Sleeper {
     fn eq(&self, other: &Self) -> bool {
-        self.until == other.until
+        self.wake_at == other.wake_at
     }
 }
 
 impl Eq for Sleeper {}
 
 #[derive(Default)]
-struct Dormitory {
+struct SleepQueue {
     sleepers: Mutex<BinaryHeap<Reverse<Sleeper>>>,
-    earlier: Condvar,
+    /// Notified when a sleeper is added that wakes before all others.
+    new_earliest: Condvar,
 }
 
-fn dormitory() -> &'static Dormitory {
-    static DORMITORY: OnceLock<Dormitory> = OnceLock::new();
+fn sleep_queue() -> &'static SleepQueue {
+    static QUEUE: OnceLock<SleepQueue> = OnceLock::new();
     static THREAD: OnceLock<bool> = OnceLock::new();
-    let dormitory = DORMITORY.get_or_init(Dormitory::default);
+    let queue = QUEUE.get_or_init(SleepQueue::default);
     THREAD.get_or_init(|| {
-        thread::Builder::new().name("wake-sleepers".into()).spawn(|| wake(dormitory)).is_ok()
+        thread::Builder::new().name("wake-sleepers".into()).spawn(|| wake_due_sleepers(queue)).is_ok()
     });
-    dormitory
+    queue
 }
 
-/// Lets other coroutines run for at least so long; in a thread it lets the thread sleep.
-pub fn sleep(span: Duration) {
+/// Suspends the calling coroutine for at least `duration`, or the calling thread outside of coroutines.
+pub fn sleep(duration: Duration) {
     if !is_coroutine() {
-        return thread::sleep(span);
+        return thread::sleep(duration);
     }
-    let (until, blocker) = (Instant::now() + span, Blocker::current());
-    while Instant::now() < until {
-        let dormitory = dormitory();
+    let (wake_at, blocker) = (Instant::now() + duration, Blocker::current());
+    while Instant::now() < wake_at {
+        let queue = sleep_queue();
         {
-            let mut sleepers = dormitory.sleepers.lock().unwrap_or_else(PoisonError::into_inner);
-            let first = sleepers.peek().is_none_or(|Reverse(first)| until < first.until);
-            sleepers.push(Reverse(Sleeper { until, blocker: blocker.clone() }));
-            if first {
-                dormitory.earlier.notify_one();
+            let mut sleepers = queue.sleepers.lock().unwrap_or_else(PoisonError::into_inner);
+            let is_earliest = sleepers.peek().is_none_or(|Reverse(first)| wake_at < first.wake_at);
+            sleepers.push(Reverse(Sleeper { wake_at, blocker: blocker.clone() }));
+            if is_earliest {
+                queue.new_earliest.notify_one();
             }
         }
         let _ = blocker.park(None);
     }
 }
 
-fn wake(dormitory: &Dormitory) {
+fn wake_due_sleepers(queue: &SleepQueue) {
     let mut due = Vec::new();
-    let mut sleepers = dormitory.sleepers.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut sleepers = queue.sleepers.lock().unwrap_or_else(PoisonError::into_inner);
     loop {
         let now = Instant::now();
-        while sleepers.peek().is_some_and(|Reverse(first)| first.until <= now) {
+        while sleepers.peek().is_some_and(|Reverse(first)| first.wake_at <= now) {
             due.extend(sleepers.pop());
         }
         if !due.is_empty() {
-            // Woken with no lock held.
+            // The lock is released while sleepers are woken.
             drop(sleepers);
             due.drain(..).for_each(|Reverse(sleeper)| sleeper.blocker.unpark());
-            sleepers = dormitory.sleepers.lock().unwrap_or_else(PoisonError::into_inner);
+            sleepers = queue.sleepers.lock().unwrap_or_else(PoisonError::into_inner);
             continue;
         }
-        sleepers = match sleepers.peek().map(|Reverse(first)| first.until) {
-            None => dormitory.earlier.wait(sleepers).unwrap_or_else(PoisonError::into_inner),
-            Some(until) => {
-                let span = until.saturating_duration_since(now);
-                dormitory.earlier.wait_timeout(sleepers, span).unwrap_or_else(PoisonError::into_inner).0
+        sleepers = match sleepers.peek().map(|Reverse(first)| first.wake_at) {
+            None => queue.new_earliest.wait(sleepers).unwrap_or_else(PoisonError::into_inner),
+            Some(wake_at) => {
+                let duration = wake_at.saturating_duration_since(now);
+                queue.new_earliest.wait_timeout(sleepers, duration).unwrap_or_else(PoisonError::into_inner).0
             }
         };
     }
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -1,5 +1,7 @@
-//! One thread looks over all links and shuts those whose moment is past. It costs a link two loads a look, and no
-//! entry in any queue for a wait that ends in time, as nearly all do.
+//! One thread polls all links and shuts those whose deadline has passed. Each poll costs a link two atomic loads. A wait
+//! that ends in time, as nearly all do, needs no timer entry.
+//!
+//! The same thread drops released objects after a delay, see [`defer_drop`].
 
 use crate::Inner;
 use std::any::Any;
@@ -8,82 +10,89 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often links are looked at: half the slack that the rules leave an answer, with which this need not be exact
-/// as the decisions have timers of their own.
-const LOOK: Duration = Duration::from_millis(4);
+/// Half the slack that the rules leave an answer. Link deadlines need no finer resolution, as the decisions have timers
+/// of their own.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Looks for which what was buried is kept at least, some 250 ms: a worker that the system halts between two
-/// instructions of `may` goes on before, and few file numbers are held. Counted in looks, not by the clock, so that
-/// a process that stood still as a whole loses nothing.
-const KEPT: u32 = 60;
+/// Minimum number of polls between [`defer_drop`] and the drop, some 250 ms. A worker thread that the system preempts
+/// between two instructions of `may` resumes within that time, and few file descriptors are held meanwhile. Counted in
+/// polls rather than by the clock, so that the delay does not run out while the whole process is suspended.
+const DROP_DELAY_POLLS: u32 = 60;
 
-/// With one worker: until the look after the next, as nobody can be between those instructions.
-const KEPT_BY_ONE: u32 = 2;
+/// With a single worker no other worker can be between those instructions, so that two polls are enough.
+const DROP_DELAY_POLLS_ONE_WORKER: u32 = 2;
 
-static KEEPS: AtomicU32 = AtomicU32::new(KEPT);
+/// The number of polls in force, by the number of workers.
+static DROP_DELAY: AtomicU32 = AtomicU32::new(DROP_DELAY_POLLS);
 
-pub fn keep_buried(workers: usize) {
-    KEEPS.store(if workers == 1 { KEPT_BY_ONE } else { KEPT }, Ordering::Relaxed);
+/// Sets the drop delay for this number of worker threads.
+pub fn set_drop_delay(workers: usize) {
+    DROP_DELAY
+        .store(if workers == 1 { DROP_DELAY_POLLS_ONE_WORKER } else { DROP_DELAY_POLLS }, Ordering::Relaxed);
 }
 
-struct Watch {
+struct Watcher {
     start: Instant,
     links: Mutex<Vec<Weak<Inner>>>,
-    buried: Mutex<Vec<Buried>>,
+    deferred: Mutex<Vec<Deferred>>,
 }
 
-type Buried = Box<dyn Any + Send>;
+type Deferred = Box<dyn Any + Send>;
 
-fn watch() -> &'static Watch {
-    static WATCH: OnceLock<Watch> = OnceLock::new();
+fn watcher() -> &'static Watcher {
+    static WATCHER: OnceLock<Watcher> = OnceLock::new();
     static THREAD: OnceLock<bool> = OnceLock::new();
-    let watch = WATCH.get_or_init(|| Watch {
+    let watcher = WATCHER.get_or_init(|| Watcher {
         start: Instant::now(),
         links: Mutex::default(),
-        buried: Mutex::default(),
+        deferred: Mutex::default(),
     });
-    THREAD.get_or_init(|| thread::Builder::new().name("watch-links".into()).spawn(|| look(watch)).is_ok());
-    watch
+    THREAD.get_or_init(|| {
+        thread::Builder::new().name("watch-links".into()).spawn(|| poll_links(watcher)).is_ok()
+    });
+    watcher
 }
 
-/// A moment on the watch's clock.
-pub fn at(moment: Instant) -> u64 {
-    moment.saturating_duration_since(watch().start).as_micros() as u64
+/// A deadline in microseconds since the watcher's start.
+pub fn deadline_micros(deadline: Instant) -> u64 {
+    deadline.saturating_duration_since(watcher().start).as_micros() as u64
 }
 
+/// Registers a link, whose deadlines hold from the next poll on.
 pub fn add(link: &Arc<Inner>) {
-    if let Ok(mut links) = watch().links.lock() {
+    if let Ok(mut links) = watcher().links.lock() {
         links.push(Arc::downgrade(link));
     }
 }
 
-/// Keeps something for a while that `may` may still hold a pointer to (docs/coroutines.md), then drops it.
-pub fn bury(what: Buried) {
-    if let Ok(mut buried) = watch().buried.lock() {
-        buried.push(what);
+/// Drops a value after a delay, because `may` may still hold a pointer to it (docs/coroutines.md). Without this, freed
+/// memory is read and written.
+pub fn defer_drop(value: Deferred) {
+    if let Ok(mut deferred) = watcher().deferred.lock() {
+        deferred.push(value);
     }
 }
 
-fn look(watch: &Watch) {
-    let mut all: Vec<Weak<Inner>> = Vec::new();
-    let (mut looks, mut older) = (0, Vec::new());
+fn poll_links(watcher: &Watcher) {
+    let mut all_links: Vec<Weak<Inner>> = Vec::new();
+    let (mut polls, mut previous) = (0, Vec::new());
     loop {
-        thread::sleep(LOOK);
-        looks += 1;
-        if looks >= KEEPS.load(Ordering::Relaxed) {
-            looks = 0;
-            // Dropped with no lock held: what is dropped may bury more.
-            let buried = watch.buried.lock().map(|mut buried| std::mem::take(&mut *buried));
-            drop(std::mem::replace(&mut older, buried.unwrap_or_default()));
+        thread::sleep(POLL_INTERVAL);
+        polls += 1;
+        if polls >= DROP_DELAY.load(Ordering::Relaxed) {
+            polls = 0;
+            // Dropped with no lock held: a dropped value may call `defer_drop` itself.
+            let deferred = watcher.deferred.lock().map(|mut deferred| std::mem::take(&mut *deferred));
+            drop(std::mem::replace(&mut previous, deferred.unwrap_or_default()));
         }
-        // The lock is held for as long as it takes to move the new ones over.
-        if let Ok(mut new) = watch.links.lock() {
-            all.append(&mut new);
+        // The lock is held only while new links are moved over.
+        if let Ok(mut new_links) = watcher.links.lock() {
+            all_links.append(&mut new_links);
         }
-        let now = at(Instant::now());
-        all.retain(|link| {
+        let now = deadline_micros(Instant::now());
+        all_links.retain(|link| {
             let Some(link) = link.upgrade() else { return false };
-            link.shut_if_due(now);
+            link.shut_if_expired(now);
             true
         });
     }
