--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Half the slack that the rules leave an answer. Link deadlines need no finer resolution, as the decisions have timers
-/// of their own.
+/// Interval between polls: half the slack that the rules leave an answer. Link deadlines need no finer resolution, as the
+/// decisions have timers of their own.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Minimum number of polls between [`defer_drop`] and the drop, some 250 ms. A worker thread that the system preempts
--- a/crates/net/tests/waits.rs
+++ b/crates/net/tests/waits.rs
@@ -11,7 +11,7 @@
 const SHORT: Duration = Duration::from_millis(200);
 
 /// A link whose socket raises no event when it is shut. Sockets that are still connecting behave so where system calls are
-/// intercepted; on Linux netlink sockets always do.
+/// intercepted; on Linux netlink sockets do.
 fn link_without_shutdown_events() -> Link {
     let socket = Socket::new(Domain::from(16), Type::DGRAM, None).expect("a netlink socket");
     Link::new(TcpStream::from(OwnedFd::from(socket))).expect("a link")
--- a/crates/recovery/src/budget.rs
+++ b/crates/recovery/src/budget.rs
@@ -1,96 +1,100 @@
-//! How much reading anew lost answers may cause, in tokens. A third of the writers dying at once turns thousands of
-//! streams into reads beside fresh tasks: what they may take is a stock that only delivered work fills again, so that
-//! recoveries never feed an overload. What is nearly done is cheap to finish and dear to lose: it may draw on the
-//! whole stock, what has hardly begun on the upper part only. No I/O, no clock: moments are told.
+//! Budget for the tokens that readers process again to recover lost answers. If a third of the writers fail at once,
+//! thousands of streams turn into reads that compete with new tasks. They draw on a budget that only delivered work
+//! refills, so that recoveries cannot worsen an overload. An answer that is nearly done is cheap to finish and expensive
+//! to lose: it may use the whole budget, one that has hardly begun only the upper part. No I/O and no clock: the caller
+//! passes the time.
 
 use std::time::Duration;
 
-/// The part of the stock that answers hardly begun leave alone: half, so that neither kind starves the other.
-const LEFT_ALONE: f64 = 0.5;
+/// The part of the budget that answers that have hardly begun may not use: half, so that neither kind starves the other.
+const RESERVED_PART: f64 = 0.5;
 
-/// How fast what is known of the filling fades: a second spans some dozen answers of a busy dispatcher and follows a
-/// storm within its first moments.
-const FADES: f64 = 1.0;
+/// Time constant of the smoothed fill rate: a second covers some dozen answers of a busy dispatcher and still follows a
+/// burst of losses early.
+const RATE_DECAY_SECONDS: f64 = 1.0;
 
-/// The shortest wait for more: below it asking again costs more than it brings.
-const SHORTEST: Duration = Duration::from_millis(20);
+/// Minimum wait before asking again: a shorter one costs more than it gains.
+const MIN_WAIT: Duration = Duration::from_millis(20);
 
+/// Whether an answer may be recovered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// The tokens are taken.
+    /// It may; the tokens are taken from the budget.
     Go,
-    /// There will likely be enough by then: ask again.
+    /// Ask again after this time, when there will likely be enough tokens.
     Wait(Duration),
-    /// Not in its time: better broken off at once than kept hanging.
+    /// There will not be enough tokens before the answer's deadline: abort it at once rather than let the client wait.
     GiveUp,
 }
 
-/// An answer that asks to be gone on with.
+/// The request of one answer to be recovered.
 #[derive(Clone, Copy, Debug)]
 pub struct Wish {
-    /// Tokens to be read anew: prompt and answer so far.
+    /// Tokens to be read again: prompt and answer so far.
     pub reads: u32,
-    /// Tokens that the client has, of how many it may get.
+    /// Tokens of the answer that the client has.
     pub has: u32,
+    /// Maximum tokens of the answer.
     pub most: u32,
-    /// Until when it may be gone on with.
+    /// Deadline of the recovery.
     pub until: Duration,
 }
 
-/// The stock. Times are since any one moment.
+/// A token bucket, refilled by delivered work. All times are relative to one arbitrary start.
 #[derive(Debug)]
 pub struct Budget {
-    /// Tokens.
-    most: f64,
-    stock: f64,
-    /// Tokens filled for each token of delivered work.
+    /// In tokens, as is `available`.
+    capacity: f64,
+    available: f64,
+    /// Tokens added for each token of delivered work.
     share: f64,
-    /// Tokens filled a second, fading.
-    rate: f64,
-    at: Duration,
+    /// Tokens added per second, exponentially smoothed.
+    fill_rate: f64,
+    updated_at: Duration,
 }
 
 impl Budget {
-    /// It begins full. `share` is what of delivered work recoveries may cost: a quarter gives reads of lost answers
-    /// a fifth of all.
-    pub fn new(most_tokens: u32, share: f64) -> Self {
-        let most = f64::from(most_tokens);
-        Budget { most, stock: most, share, rate: 0.0, at: Duration::ZERO }
+    /// Creates a full budget. `share` is the cost of recoveries relative to delivered work: at a quarter, recoveries are a
+    /// fifth of all tokens.
+    pub fn new(capacity_tokens: u32, share: f64) -> Self {
+        let capacity = f64::from(capacity_tokens);
+        Budget { capacity, available: capacity, share, fill_rate: 0.0, updated_at: Duration::ZERO }
     }
 
-    /// Tokens in stock.
-    pub fn stock(&self) -> f64 {
-        self.stock
+    /// Available tokens.
+    pub fn available(&self) -> f64 {
+        self.available
     }
 
-    fn fade(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.rate *= (-passed / FADES).exp();
-        self.at = self.at.max(now);
+    fn decay_rate(&mut self, now: Duration) {
+        let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.fill_rate *= (-elapsed_seconds / RATE_DECAY_SECONDS).exp();
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// An answer was delivered: its prompt's and its own tokens.
+    /// Records a delivered answer, with the tokens of its prompt and of the answer.
     pub fn delivered(&mut self, now: Duration, tokens: u32) {
-        self.fade(now);
+        self.decay_rate(now);
         let filled = self.share * f64::from(tokens);
-        self.stock = (self.stock + filled).min(self.most);
-        self.rate += filled / FADES;
+        self.available = (self.available + filled).min(self.capacity);
+        self.fill_rate += filled / RATE_DECAY_SECONDS;
     }
 
+    /// Decides on a recovery, and takes its tokens if it may start.
     pub fn ask(&mut self, now: Duration, wish: Wish) -> Verdict {
-        self.fade(now);
+        self.decay_rate(now);
         let reads = f64::from(wish.reads);
-        let done = f64::from(wish.has) / f64::from(wish.most.max(1));
-        let floor = self.most * LEFT_ALONE * (1.0 - done.clamp(0.0, 1.0));
-        if self.stock - reads >= floor {
-            self.stock -= reads;
+        let done_part = f64::from(wish.has) / f64::from(wish.most.max(1));
+        let floor = self.capacity * RESERVED_PART * (1.0 - done_part.clamp(0.0, 1.0));
+        if self.available - reads >= floor {
+            self.available -= reads;
             return Verdict::Go;
         }
-        let (left, missing) = (wish.until.saturating_sub(now), floor + reads - self.stock);
-        // More than the stock can ever hold for it never comes; nor does anything without deliveries.
-        if floor + reads > self.most || missing > self.rate * left.as_secs_f64() {
+        let (time_left, missing) = (wish.until.saturating_sub(now), floor + reads - self.available);
+        // Waiting is useless for more than the capacity, and if no deliveries refill the budget.
+        if floor + reads > self.capacity || missing > self.fill_rate * time_left.as_secs_f64() {
             return Verdict::GiveUp;
         }
-        Verdict::Wait(Duration::from_secs_f64(missing / self.rate).max(SHORTEST))
+        Verdict::Wait(Duration::from_secs_f64(missing / self.fill_rate).max(MIN_WAIT))
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,6 +1,6 @@
-//! What becomes of a begun answer whose writer is lost. One state machine an answer: pieces in, what the client gets
-//! out; a loss in, whether and from where it goes on. Which hosts read and write it anew is decided elsewhere. No I/O,
-//! no clock: moments are told.
+//! Recovery of a streamed answer whose writer is lost. One state machine per answer takes the pieces from the writer and
+//! returns the text for the client; on a loss it decides whether the answer is resumed, and from which token. Which hosts
+//! then read the prompt and write the answer is decided elsewhere. No I/O and no clock: the caller passes the time.
 
 pub mod budget;
 pub mod pace;
@@ -11,211 +11,214 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Tokens that a writer which goes on says again, so that it shows whether it goes on with the same answer: enough
-/// that two answers that differ are unlikely to agree in all, few enough to cost nothing.
-const OVERLAP: u32 = 4;
+/// Tokens that a resuming writer sends again, to verify that it continues the same answer: enough that two different
+/// answers are unlikely to agree in all of them, few enough to cost nothing.
+const OVERLAP_TOKENS: u32 = 4;
 
-/// Losses that one answer is carried over: a fleet that loses four writers under one answer is not helped by a fifth.
-const LOSSES: u32 = 4;
+/// Losses after which one answer is still resumed: where four writers are lost during one answer, a fifth will not help.
+const MAX_LOSSES: u32 = 4;
 
-/// Tokens in a row that may leave a character unfinished, or say nothing: a character has four bytes at most, and
-/// engines that hold bytes back say nothing for as many tokens. Twice that.
-const UNFINISHED: u32 = 8;
+/// Consecutive tokens that may leave a character incomplete or carry no bytes. A character has at most four bytes, and
+/// engines that hold incomplete bytes back send nothing for up to as many tokens; this is twice that.
+const MAX_UNFINISHED_TOKENS: u32 = 8;
 
-/// Bytes of answers held for going on, of each answer and of all.
+/// Limits the text that is held for resuming answers, in bytes for each answer and for all answers.
 pub struct Store {
-    each: usize,
-    all: usize,
-    held: AtomicUsize,
+    max_answer_bytes: usize,
+    max_total_bytes: usize,
+    held_bytes: AtomicUsize,
 }
 
 impl Store {
-    pub fn new(each: usize, all: usize) -> Self {
-        Store { each, all, held: AtomicUsize::new(0) }
+    pub fn new(max_answer_bytes: usize, max_total_bytes: usize) -> Self {
+        Store { max_answer_bytes, max_total_bytes, held_bytes: AtomicUsize::new(0) }
     }
 
-    /// Bytes held just now.
+    /// Bytes held at present.
     pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+        self.held_bytes.load(Ordering::Relaxed)
     }
 
-    fn take(&self, bytes: usize) -> bool {
-        let taken = self.held.fetch_add(bytes, Ordering::Relaxed) + bytes <= self.all;
-        if !taken {
-            self.held.fetch_sub(bytes, Ordering::Relaxed);
+    fn reserve(&self, bytes: usize) -> bool {
+        let reserved = self.held_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes <= self.max_total_bytes;
+        if !reserved {
+            self.held_bytes.fetch_sub(bytes, Ordering::Relaxed);
         }
-        taken
+        reserved
     }
 }
 
-/// Whether the same answer may be begun anew elsewhere.
+/// Whether the same answer may be started again at another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Again {
     /// Anywhere.
     Harmless,
-    /// By hosts that discard its repeats, up to this moment; which those are is for the decisions to keep to.
+    /// At hosts that discard repeats, until this time. The decisions choose only such hosts.
     Until(Duration),
-    /// It may have run: never.
+    /// Never, as its effect may have happened.
     Harmful,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Streaming,
-    /// Lost; going on until this moment.
+    /// The writer is lost; another one may resume until this time.
     Lost(Duration),
-    /// A writer has begun that goes on; this token comes next from it, up to where the loss was.
+    /// A resuming writer sends known tokens again, up to the position of the loss; this position comes next.
     Overlapping(u32),
-    /// It is not gone on with, for this reason: for good.
-    Ended(Final),
+    /// The answer is not resumed, for this reason. Final.
+    Aborted(AbortReason),
 }
 
-/// Why a writer's words are not taken.
+/// Why a piece from a writer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// It begins elsewhere, repeats or skips.
-    Position,
-    /// It says something else where it should say the same.
-    Differs,
-    /// More tokens than asked for.
+    /// Its position is not the expected one: the writer starts elsewhere, repeats or skips a token.
+    WrongPosition,
+    /// Its text differs from what the previous writer sent at that position.
+    DifferentText,
+    /// It exceeds the maximum number of tokens.
     TooMany,
-    /// The answer had ended.
+    /// The answer has ended or has no writer.
     AfterEnd,
-    /// Bytes that are no text.
-    NoText,
+    /// Its bytes are not UTF-8.
+    InvalidText,
 }
 
 impl Refused {
+    /// The reason in log lines.
     pub fn why(self) -> &'static str {
         match self {
-            Refused::Position => "goes on elsewhere",
-            Refused::Differs => "goes on with another answer",
+            Refused::WrongPosition => "goes on elsewhere",
+            Refused::DifferentText => "goes on with another answer",
             Refused::TooMany => "too many tokens",
             Refused::AfterEnd => "text after its end",
-            Refused::NoText => "no text",
+            Refused::InvalidText => "no text",
         }
     }
 }
 
-/// Why an answer is not gone on with.
+/// Why an answer is not resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
-    /// It may have run, and must not run again.
-    Effect,
-    /// Its text was too long for the store.
+pub enum AbortReason {
+    /// Its effect may have happened and must not happen again.
+    MayHaveRun,
+    /// Its text is no longer held, as it exceeded a limit.
     NotHeld,
     /// Too many losses.
-    Losses,
-    /// No writer within the time for going on.
-    Late,
+    TooManyLosses,
+    /// No other writer started in time.
+    NoWriterInTime,
 }
 
-impl Final {
+impl AbortReason {
+    /// The value of a metric label.
     pub fn name(self) -> &'static str {
         match self {
-            Final::Effect => "may have run",
-            Final::NotHeld => "not held",
-            Final::Losses => "too many losses",
-            Final::Late => "no writer in time",
+            AbortReason::MayHaveRun => "may have run",
+            AbortReason::NotHeld => "not held",
+            AbortReason::TooManyLosses => "too many losses",
+            AbortReason::NoWriterInTime => "no writer in time",
         }
     }
 }
 
+/// What happens to an answer after a loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Go on until this moment: the answer so far is the prompt's end, and the writer says tokens from `from` on.
-    GoOn {
-        from: u32,
-        most: u32,
-        until: Duration,
-    },
-    BreakOff(Final),
+    /// Resume at another writer, which has to start before `until`. Its prompt ends with the answer so far, and it sends at
+    /// most `most` tokens from position `from` on.
+    GoOn { from: u32, most: u32, until: Duration },
+    /// Abort the answer.
+    BreakOff(AbortReason),
 }
 
-/// One answer on its way to its client.
+/// One answer that is being streamed to its client.
 pub struct Answer {
     store: Arc<Store>,
-    again: Again,
-    /// The most tokens that it may have.
-    most: u32,
-    /// Whole characters only: what the client has.
+    repeat: Again,
+    /// Maximum number of tokens of the whole answer.
+    max_tokens: u32,
+    /// The text that the client has, complete characters only.
     text: String,
-    /// The bytes of a character that is not finished.
-    rest: Vec<u8>,
-    /// What the last piece brought.
-    new: String,
-    /// Where a token and a character ended together: tokens and bytes up to there.
-    clean: (u32, usize),
-    /// Bytes of the last tokens, the newest last.
-    last: VecDeque<u32>,
+    /// Bytes of an incomplete character at the end.
+    partial_char: Vec<u8>,
+    /// New text of the last piece.
+    delta: String,
+    /// The last position at which a token and a character ended together, in tokens and in bytes of `text`.
+    resume_point: (u32, usize),
+    /// Lengths of the last tokens in bytes, the newest at the end.
+    recent_token_bytes: VecDeque<u32>,
     tokens: u32,
-    /// The text is held whole.
-    whole: bool,
+    /// The whole text is held in `text`.
+    is_held: bool,
     losses: u32,
     state: State,
 }
 
 impl Answer {
-    pub fn new(store: Arc<Store>, again: Again, most: u32) -> Self {
+    pub fn new(store: Arc<Store>, repeat: Again, max_tokens: u32) -> Self {
         Answer {
             store,
-            again,
-            most,
+            repeat,
+            max_tokens,
             text: String::new(),
-            rest: Vec::new(),
-            new: String::new(),
-            clean: (0, 0),
-            last: VecDeque::with_capacity(OVERLAP as usize + 1),
+            partial_char: Vec::new(),
+            delta: String::new(),
+            resume_point: (0, 0),
+            recent_token_bytes: VecDeque::with_capacity(OVERLAP_TOKENS as usize + 1),
             tokens: 0,
-            whole: again != Again::Harmful,
+            is_held: repeat != Again::Harmful,
             losses: 0,
             state: State::Streaming,
         }
     }
 
-    /// Tokens said so far.
+    /// Number of tokens so far.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// The answer so far, while it is held.
+    /// The answer so far; empty if it is not held.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// What of it a writer that goes on is given: up to where a token and a character end together.
+    /// The part of the answer that is given to a resuming writer: up to the last position at which a token and a character
+    /// end together.
     pub fn before(&self) -> &str {
-        &self.text[..self.clean.1]
+        &self.text[..self.resume_point.1]
     }
 
+    /// Number of lost writers, including those that the answer has moved away from.
     pub fn losses(&self) -> u32 {
         self.losses
     }
 
-    /// A piece of one token comes, at a position where the writer tells it; gives what of it is new to the client:
-    /// whole characters only, the bytes of an unfinished one wait for their rest.
+    /// Takes a piece of one token, with its position if the writer reports it, and returns the text that is new to the
+    /// client. Only complete characters are returned; the bytes of an incomplete one are held until the rest arrives.
     pub fn piece(&mut self, position: Option<u32>, bytes: &[u8]) -> Result<&str, Refused> {
-        self.new.clear();
+        self.delta.clear();
         match self.state {
-            State::Ended(_) | State::Lost(_) => Err(Refused::AfterEnd),
+            State::Aborted(_) | State::Lost(_) => Err(Refused::AfterEnd),
             State::Streaming => {
                 if position.is_some_and(|position| position != self.tokens) {
-                    return Err(Refused::Position);
+                    return Err(Refused::WrongPosition);
                 }
-                if self.tokens >= self.most {
+                if self.tokens >= self.max_tokens {
                     return Err(Refused::TooMany);
                 }
-                self.join(bytes)?;
-                self.keep(bytes.len());
-                Ok(&self.new)
+                self.append_text(bytes)?;
+                self.hold_delta(bytes.len());
+                Ok(&self.delta)
             }
             State::Overlapping(next) => {
-                // A writer that goes on has to say where it is.
+                // A resuming writer has to report positions.
                 if position != Some(next) {
-                    return Err(Refused::Position);
+                    return Err(Refused::WrongPosition);
                 }
-                if !self.said(next, bytes) {
-                    return Err(Refused::Differs);
+                if !self.was_sent(next, bytes) {
+                    return Err(Refused::DifferentText);
                 }
                 let next = next + 1;
                 self.state = if next == self.tokens { State::Streaming } else { State::Overlapping(next) };
@@ -224,135 +227,145 @@
         }
     }
 
-    /// Puts what is whole of the unfinished character and these bytes into `new`; what is not stays unfinished.
-    fn join(&mut self, bytes: &[u8]) -> Result<(), Refused> {
-        if self.rest.is_empty()
+    /// Appends these bytes to the incomplete character. Moves all complete characters to `delta` and keeps the rest.
+    fn append_text(&mut self, bytes: &[u8]) -> Result<(), Refused> {
+        if self.partial_char.is_empty()
             && let Ok(text) = std::str::from_utf8(bytes)
         {
-            self.new.push_str(text);
+            self.delta.push_str(text);
             return Ok(());
         }
-        let had = self.rest.len();
-        self.rest.extend_from_slice(bytes);
-        let whole = match std::str::from_utf8(&self.rest) {
+        let old_len = self.partial_char.len();
+        self.partial_char.extend_from_slice(bytes);
+        let valid_text = match std::str::from_utf8(&self.partial_char) {
             Ok(text) => text,
             Err(error) if error.error_len().is_none() => {
-                std::str::from_utf8(&self.rest[..error.valid_up_to()]).unwrap_or_default()
+                std::str::from_utf8(&self.partial_char[..error.valid_up_to()]).unwrap_or_default()
             }
             Err(_) => {
-                self.rest.truncate(had);
-                return Err(Refused::NoText);
+                self.partial_char.truncate(old_len);
+                return Err(Refused::InvalidText);
             }
         };
-        self.new.push_str(whole);
-        self.rest.drain(..self.new.len());
+        self.delta.push_str(valid_text);
+        self.partial_char.drain(..self.delta.len());
         Ok(())
     }
 
-    /// Holds what is new, of a token of so many bytes.
-    fn keep(&mut self, bytes: usize) {
+    /// Counts a token of this many bytes and holds its new text.
+    fn hold_delta(&mut self, bytes: usize) {
         self.tokens += 1;
-        if !self.whole {
+        if !self.is_held {
             return;
         }
-        let unfinished = self.tokens - self.clean.0;
-        let new = self.new.len();
-        if self.text.len() + new > self.store.each || unfinished > UNFINISHED || !self.store.take(new) {
-            self.let_go();
+        let unfinished_tokens = self.tokens - self.resume_point.0;
+        let new_bytes = self.delta.len();
+        if self.text.len() + new_bytes > self.store.max_answer_bytes
+            || unfinished_tokens > MAX_UNFINISHED_TOKENS
+            || !self.store.reserve(new_bytes)
+        {
+            self.release_text();
             return;
         }
-        self.text.push_str(&self.new);
-        self.last.push_back(bytes as u32);
-        if self.rest.is_empty() && bytes > 0 {
-            self.clean = (self.tokens, self.text.len());
+        self.text.push_str(&self.delta);
+        self.recent_token_bytes.push_back(bytes as u32);
+        if self.partial_char.is_empty() && bytes > 0 {
+            self.resume_point = (self.tokens, self.text.len());
         }
-        while self.last.len() as u32 > OVERLAP + self.tokens - self.clean.0 {
-            self.last.pop_front();
+        while self.recent_token_bytes.len() as u32 > OVERLAP_TOKENS + self.tokens - self.resume_point.0 {
+            self.recent_token_bytes.pop_front();
         }
     }
 
-    /// Past a limit the answer cannot be gone on with any more.
-    fn let_go(&mut self) {
-        self.store.held.fetch_sub(self.text.len(), Ordering::Relaxed);
-        (self.whole, self.text, self.clean) = (false, String::new(), (0, 0));
-        self.last.clear();
+    /// Releases the held text once a limit is exceeded. The answer cannot be resumed any more.
+    fn release_text(&mut self) {
+        self.store.held_bytes.fetch_sub(self.text.len(), Ordering::Relaxed);
+        (self.is_held, self.text, self.resume_point) = (false, String::new(), (0, 0));
+        self.recent_token_bytes.clear();
     }
 
-    /// Whether these bytes were said at one of the last positions.
-    fn said(&self, position: u32, bytes: &[u8]) -> bool {
-        let first = position.checked_sub(self.from()).map(|first| first as usize);
-        let Some((first, len)) = first.and_then(|first| Some((first, *self.last.get(first)?))) else {
+    /// Whether the token at this position, one of the last, was sent with exactly these bytes.
+    fn was_sent(&self, position: u32, bytes: &[u8]) -> bool {
+        let index = position.checked_sub(self.resume_position()).map(|index| index as usize);
+        let Some((index, token_bytes)) =
+            index.and_then(|index| Some((index, *self.recent_token_bytes.get(index)?)))
+        else {
             return false;
         };
-        let back = self.last.range(first..).sum::<u32>() as usize;
-        let all = self.text.as_bytes().iter().chain(&self.rest);
-        all.skip(self.text.len() + self.rest.len() - back).take(len as usize).eq(bytes)
+        let bytes_back = self.recent_token_bytes.range(index..).sum::<u32>() as usize;
+        let all_bytes = self.text.as_bytes().iter().chain(&self.partial_char);
+        all_bytes
+            .skip(self.text.len() + self.partial_char.len() - bytes_back)
+            .take(token_bytes as usize)
+            .eq(bytes)
     }
 
-    /// The position at which a writer that goes on begins.
-    fn from(&self) -> u32 {
-        self.tokens - self.last.len() as u32
+    /// The position at which a resuming writer starts.
+    fn resume_position(&self) -> u32 {
+        self.tokens - self.recent_token_bytes.len() as u32
     }
 
-    /// Its writer is lost. The first loss of a row starts the time for going on.
+    /// Records that the writer is lost, or that no new writer has been found yet, and decides what follows. The first of
+    /// consecutive losses starts the time limit `within`.
     pub fn lost(&mut self, now: Duration, within: Duration) -> Next {
         let until = match self.state {
-            State::Ended(why) => return Next::BreakOff(why),
+            State::Aborted(why) => return Next::BreakOff(why),
             State::Lost(until) => until,
             _ => {
                 self.losses += 1;
                 now + within
             }
         };
-        let until = match self.again {
+        let until = match self.repeat {
             Again::Until(end) => until.min(end),
             _ => until,
         };
-        let last = match self.again {
-            Again::Harmful => Some(Final::Effect),
-            Again::Until(end) if now >= end => Some(Final::Effect),
-            _ if !self.whole => Some(Final::NotHeld),
-            _ if self.losses > LOSSES => Some(Final::Losses),
-            _ if now >= until => Some(Final::Late),
+        let abort_reason = match self.repeat {
+            Again::Harmful => Some(AbortReason::MayHaveRun),
+            Again::Until(end) if now >= end => Some(AbortReason::MayHaveRun),
+            _ if !self.is_held => Some(AbortReason::NotHeld),
+            _ if self.losses > MAX_LOSSES => Some(AbortReason::TooManyLosses),
+            _ if now >= until => Some(AbortReason::NoWriterInTime),
             _ => None,
         };
-        if let Some(why) = last {
-            self.state = State::Ended(why);
+        if let Some(why) = abort_reason {
+            self.state = State::Aborted(why);
             return Next::BreakOff(why);
         }
         self.state = State::Lost(until);
-        let from = self.from();
-        Next::GoOn { from, most: self.most - from, until }
+        let from = self.resume_position();
+        Next::GoOn { from, most: self.max_tokens - from, until }
     }
 
-    /// A writer that goes on has begun.
+    /// Records that a resuming writer has started.
     pub fn goes_on(&mut self) {
         if let State::Lost(_) = self.state {
-            self.overlap();
+            self.begin_overlap();
         }
     }
 
-    fn overlap(&mut self) {
-        let from = self.from();
+    fn begin_overlap(&mut self) {
+        let from = self.resume_position();
         self.state = if from == self.tokens { State::Streaming } else { State::Overlapping(from) };
     }
 
-    /// Whether another writer may take over while this one still speaks, two running at once: from which token, and
-    /// the most that it may say.
+    /// Whether another writer may take over while this one still streams, so that two run at once. Returns the position at
+    /// which the new writer starts and the maximum number of tokens that it may send.
     pub fn may_move(&self) -> Option<(u32, u32)> {
-        let may = self.state == State::Streaming && self.again == Again::Harmless && self.whole;
-        (may && self.losses < LOSSES).then(|| (self.from(), self.most - self.from()))
+        let movable = self.state == State::Streaming && self.repeat == Again::Harmless && self.is_held;
+        (movable && self.losses < MAX_LOSSES)
+            .then(|| (self.resume_position(), self.max_tokens - self.resume_position()))
     }
 
-    /// Another writer has taken over: it counts like a loss.
+    /// Records that another writer has taken over. It counts as a loss.
     pub fn moved(&mut self) {
         if self.may_move().is_some() {
             self.losses += 1;
-            self.overlap();
+            self.begin_overlap();
         }
     }
 
-    /// Whether an end that the writer tells is one: not while it still says again what the client has.
+    /// Whether the answer may end now. An end is not valid while a resuming writer still sends known tokens again.
     pub fn may_end(&self) -> bool {
         self.state == State::Streaming
     }
@@ -360,6 +373,6 @@
 
 impl Drop for Answer {
     fn drop(&mut self) {
-        self.let_go();
+        self.release_text();
     }
 }
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -1,93 +1,101 @@
-//! Whether a begun answer is better off at another writer while its own still speaks: where it is slow enough to break
-//! the agreed pace and the others are not, or where its host drains and will not be there to the end. A move costs a read
-//! of prompt and answer so far; a needless one costs that for nothing. No I/O, no clock: spans are told.
+//! Whether an answer should move to another writer while its own still streams: because its writer is slow enough to miss
+//! the agreed time per token and others are not, or because its host drains and stops before the answer ends. Each move
+//! costs a read of the prompt and the answer so far, also a needless one. No I/O and no clock: the caller passes times.
 
 use std::time::Duration;
 
-/// Tokens over which a stream's own pace is taken: long enough that one late step is not felt, short enough to leave
-/// something to save of an answer of a few dozen.
-const SPAN: u32 = 8;
+/// Tokens over which a stream's own pace is measured: enough that one late token matters little, few enough that moving can
+/// still help an answer of a few dozen tokens.
+const PACE_WINDOW_TOKENS: u32 = 8;
 
-/// Times the others' pace from which a writer is slow: half as fast again comes from load alone.
-const SLOW: f64 = 2.0;
+/// A writer is slow above this multiple of the usual time per token: load alone raises the time by half.
+const SLOW_FACTOR: f64 = 2.0;
 
-/// Answers that a mean remembers: some dozens follow a change within seconds.
-const REMEMBERS: u32 = 30;
+/// Number of answers over which a mean is smoothed: a few dozen follow a change within seconds.
+const MEAN_WINDOW: u32 = 30;
 
-/// Answers before the means tell anything.
-const KNOWN: u32 = 20;
+/// Number of answers needed before a mean is used.
+const MIN_ANSWERS: u32 = 20;
 
-/// A mean that fades by additions; a plain one of the first.
+/// Exponentially weighted mean; the arithmetic mean of the first [`MEAN_WINDOW`] values.
 #[derive(Clone, Copy, Debug, Default)]
-struct Mean {
+struct RunningMean {
     value: f64,
-    seen: u32,
+    count: u32,
 }
 
-impl Mean {
+impl RunningMean {
     fn add(&mut self, value: f64) {
-        self.seen = self.seen.saturating_add(1);
-        self.value += (value - self.value) / f64::from(self.seen.min(REMEMBERS));
+        self.count = self.count.saturating_add(1);
+        self.value += (value - self.value) / f64::from(self.count.min(MEAN_WINDOW));
     }
 }
 
-/// What answers that ended whole were like.
+/// Statistics of completed answers.
 #[derive(Debug, Default)]
 pub struct Paces {
-    /// Seconds a token.
-    token: Mean,
-    /// Tokens of an answer, by offering.
-    lengths: Vec<Mean>,
-    /// Seconds from asking for another writer to its first token, and from arrival to first tokens of all.
-    gap: Mean,
-    first: Mean,
+    /// Time per token.
+    token_seconds: RunningMean,
+    /// Length of an answer, by offering.
+    answer_tokens: Vec<RunningMean>,
+    /// Time from the request for another writer to its first token.
+    gap_seconds: RunningMean,
+    /// Time from a request's arrival to the answer's first token.
+    first_token_seconds: RunningMean,
 }
 
-/// What is usual just now.
+/// Current means for an offering.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usual {
-    /// Seconds a token.
-    pub token: f64,
-    /// Seconds until another writer speaks.
+    /// Time per token.
+    pub token_seconds: f64,
+    /// Seconds until another writer's first token.
     pub gap: f64,
-    /// Tokens of an answer.
-    pub length: f64,
+    /// Length of an answer.
+    pub answer_tokens: f64,
 }
 
 impl Paces {
-    /// An answer ended whole: its tokens, the time to the first, and from the first to the last.
-    pub fn note(&mut self, offering: usize, tokens: u32, first: Duration, took: Duration) {
-        self.first.add(first.as_secs_f64());
-        self.lengths.resize(self.lengths.len().max(offering + 1), Mean::default());
-        self.lengths[offering].add(f64::from(tokens));
-        if tokens > SPAN {
-            self.token.add(took.as_secs_f64() / f64::from(tokens - 1));
+    /// Records a completed answer: its tokens, the time to the first token, and from the first to the last.
+    pub fn note(&mut self, offering: usize, tokens: u32, first: Duration, streaming: Duration) {
+        self.first_token_seconds.add(first.as_secs_f64());
+        self.answer_tokens.resize(self.answer_tokens.len().max(offering + 1), RunningMean::default());
+        self.answer_tokens[offering].add(f64::from(tokens));
+        if tokens > PACE_WINDOW_TOKENS {
+            self.token_seconds.add(streaming.as_secs_f64() / f64::from(tokens - 1));
         }
     }
 
-    /// Another writer has begun to speak for one that was left.
+    /// Records the time from the request for another writer to that writer's first token.
     pub fn went_on(&mut self, gap: Duration) {
-        self.gap.add(gap.as_secs_f64());
+        self.gap_seconds.add(gap.as_secs_f64());
     }
 
-    /// Absent while too little is known. Where no gap was seen the usual time to a first token stands for it.
+    /// The current means; `None` while too few answers are known. As long as no gap was recorded, the mean time to the first
+    /// token stands in for it.
     pub fn usual(&self, offering: usize) -> Option<Usual> {
-        let length = self.lengths.get(offering).filter(|mean| mean.seen >= KNOWN)?.value;
-        let gap = if self.gap.seen > 0 { self.gap.value } else { self.first.value };
-        (self.token.seen >= KNOWN).then_some(Usual { token: self.token.value, gap, length })
+        let answer_tokens = self.answer_tokens.get(offering).filter(|mean| mean.count >= MIN_ANSWERS)?.value;
+        let gap_seconds =
+            if self.gap_seconds.count > 0 { self.gap_seconds.value } else { self.first_token_seconds.value };
+        (self.token_seconds.count >= MIN_ANSWERS).then_some(Usual {
+            token_seconds: self.token_seconds.value,
+            gap: gap_seconds,
+            answer_tokens,
+        })
     }
 }
 
-/// One stream's own pace.
+/// Measures the pace of one stream.
 #[derive(Debug)]
 pub struct Stream {
-    /// When the answer's first token came, and how many it had by a later moment.
-    first: Duration,
-    at: Duration,
-    had: u32,
+    /// When the answer's first token came.
+    first_token_at: Duration,
+    /// Start of the current measurement, and the tokens of the answer at that time.
+    window_start: Duration,
+    window_start_tokens: u32,
 }
 
-/// Why a stream should move.
+/// Why a stream should move to another writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
     Slow,
@@ -95,6 +103,7 @@
 }
 
 impl Why {
+    /// The value in metric labels and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Why::Slow => "slow",
@@ -104,13 +113,14 @@
 }
 
 impl Stream {
-    /// The answer's first token came at `first`; this writer begins now, with so many of them said.
+    /// Starts measuring a writer. The answer's first token came at `first`, and it has `had` tokens from earlier writers.
     pub fn new(first: Duration, now: Duration, had: u32) -> Self {
-        Stream { first, at: now, had }
+        Stream { first_token_at: first, window_start: now, window_start_tokens: had }
     }
 
-    /// The answer has so many tokens by now, `most` at most; this is looked at each eight of them. `agreed` is the time
-    /// agreed for a token, `stays` how long its host still runs where that is known to end.
+    /// Whether the stream should move, given that the answer has `tokens` tokens by now. Evaluated once every
+    /// `PACE_WINDOW_TOKENS` tokens, `None` in between. `most` is the maximum length of the answer, `agreed` the agreed
+    /// time per token, and `host_remaining` how long a draining host still runs.
     pub fn look(
         &mut self,
         now: Duration,
@@ -118,26 +128,28 @@
         most: u32,
         agreed: Duration,
         usual: &Usual,
-        stays: Option<Duration>,
+        host_remaining: Option<Duration>,
     ) -> Option<Why> {
-        let said = tokens.saturating_sub(self.had);
-        if said < SPAN {
+        let new_tokens = tokens.saturating_sub(self.window_start_tokens);
+        if new_tokens < PACE_WINDOW_TOKENS {
             return None;
         }
-        let pace = now.saturating_sub(self.at).as_secs_f64() / f64::from(said);
-        (self.at, self.had) = (now, tokens);
-        // Past the usual length: a quarter of it more.
-        let to_go = (usual.length - f64::from(tokens))
-            .max(usual.length / 4.0)
+        let token_seconds = now.saturating_sub(self.window_start).as_secs_f64() / f64::from(new_tokens);
+        (self.window_start, self.window_start_tokens) = (now, tokens);
+        // At least a quarter of the usual length is expected to remain, also for an answer that is already longer.
+        let tokens_left = (usual.answer_tokens - f64::from(tokens))
+            .max(usual.answer_tokens / 4.0)
             .min(f64::from(most - tokens.min(most)));
-        let left = to_go * pace;
-        if stays.is_some_and(|stays| left > stays.as_secs_f64()) {
+        let seconds_left = tokens_left * token_seconds;
+        if host_remaining.is_some_and(|host_remaining| seconds_left > host_remaining.as_secs_f64()) {
             return Some(Why::Drains);
         }
-        let spent = now.saturating_sub(self.first).as_secs_f64();
-        let whole = agreed.as_secs_f64() * (f64::from(tokens) + to_go);
-        let breaks = spent + left > whole;
-        let mends = spent + usual.gap + to_go * usual.token <= whole;
-        (pace > SLOW * usual.token && breaks && mends).then_some(Why::Slow)
+        let seconds_spent = now.saturating_sub(self.first_token_at).as_secs_f64();
+        let agreed_seconds = agreed.as_secs_f64() * (f64::from(tokens) + tokens_left);
+        let misses_agreed = seconds_spent + seconds_left > agreed_seconds;
+        let move_meets_agreed =
+            seconds_spent + usual.gap + tokens_left * usual.token_seconds <= agreed_seconds;
+        (token_seconds > SLOW_FACTOR * usual.token_seconds && misses_agreed && move_meets_agreed)
+            .then_some(Why::Slow)
     }
 }
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -1,53 +1,58 @@
-//! For how long a writer may be silent under an answer before it counts as lost: clearly longer than its peers ever
-//! are. Smoothed as time-outs of retransmissions are (RFC 6298, section 2): a mean and a mean deviation, here of the
-//! longest silence of each answer that ended whole. No I/O, no clock: spans are told.
+//! How long a writer may send nothing during an answer before it counts as lost: clearly longer than other writers ever
+//! pause. Smoothed like retransmission time-outs (RFC 6298, section 2) by a mean and a mean deviation, here of the longest
+//! pause in each answer that was completed. No I/O and no clock: the caller passes durations.
 
 use std::time::Duration;
 
-/// As in RFC 6298: an eighth for the mean, a quarter for the deviation, four deviations.
-const MEAN: f64 = 0.125;
-const DEVIATION: f64 = 0.25;
-const DEVIATIONS: f64 = 4.0;
+/// Smoothing factors of RFC 6298: an eighth for the mean, a quarter for the deviation, and four deviations.
+const MEAN_GAIN: f64 = 0.125;
+const DEVIATION_GAIN: f64 = 0.25;
+const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Times what answers that end whole show at their worst: a false alarm reads a prompt again, waiting costs a moment.
-const CLEARLY: f64 = 4.0;
+/// Multiple of the longest usual pause: a false alarm costs reading a prompt again, waiting longer costs only that time.
+const SAFETY_FACTOR: f64 = 4.0;
 
-/// No less, whatever the peers: a machine that halts a process for a quarter of a second is no lost writer.
-const LEAST: Duration = Duration::from_millis(250);
+/// Lower bound of the time-out: a writer whose process is suspended for a quarter of a second is not lost.
+const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Tokens' times by the agreed pace that a client bears without a piece.
-const PACES: u32 = 8;
+/// Lower bound of the time-out in agreed times per token: a client tolerates so long without new text.
+const MIN_TOKEN_TIMES: u32 = 8;
 
-/// Answers before what they showed is gone by.
-const KNOWN: u32 = 20;
+/// Completed answers needed before the time-out is derived from them.
+const MIN_ANSWERS: u32 = 20;
 
+/// Estimates the time-out from the pauses in completed answers.
 #[derive(Debug, Default)]
 pub struct Silence {
-    /// Seconds.
-    mean: f64,
-    deviation: f64,
-    seen: u32,
+    mean_seconds: f64,
+    deviation_seconds: f64,
+    answers: u32,
 }
 
 impl Silence {
-    /// An answer ended whole; the longest time between two of its pieces.
+    /// Records a completed answer, with the longest time between two of its pieces.
     pub fn note(&mut self, longest: Duration) {
-        let longest = longest.as_secs_f64();
-        if self.seen == 0 {
-            (self.mean, self.deviation) = (longest, longest / 2.0);
+        let longest_seconds = longest.as_secs_f64();
+        if self.answers == 0 {
+            (self.mean_seconds, self.deviation_seconds) = (longest_seconds, longest_seconds / 2.0);
         } else {
-            self.deviation += DEVIATION * ((self.mean - longest).abs() - self.deviation);
-            self.mean += MEAN * (longest - self.mean);
+            self.deviation_seconds +=
+                DEVIATION_GAIN * ((self.mean_seconds - longest_seconds).abs() - self.deviation_seconds);
+            self.mean_seconds += MEAN_GAIN * (longest_seconds - self.mean_seconds);
         }
-        self.seen = self.seen.saturating_add(1);
+        self.answers = self.answers.saturating_add(1);
     }
 
-    /// How long to bear silence for an answer of this agreed time a token; `most` while too little is known.
+    /// The time-out for an answer with this agreed time per token. At most `most`, which is also the result while too few
+    /// answers are known.
     pub fn bears(&self, pace: Duration, most: Duration) -> Duration {
-        if self.seen < KNOWN {
+        if self.answers < MIN_ANSWERS {
             return most;
         }
-        let usual = CLEARLY * (self.mean + DEVIATIONS * self.deviation);
-        Duration::from_secs_f64(usual.min(1e6)).max(LEAST).max(pace * PACES).min(most)
+        let timeout_seconds = SAFETY_FACTOR * (self.mean_seconds + DEVIATION_FACTOR * self.deviation_seconds);
+        Duration::from_secs_f64(timeout_seconds.min(1e6))
+            .max(MIN_TIMEOUT)
+            .max(pace * MIN_TOKEN_TIMES)
+            .min(most)
     }
 }
--- a/crates/recovery/tests/answers.rs
+++ b/crates/recovery/tests/answers.rs
@@ -1,10 +1,10 @@
-//! Answers over losses, as tables: what the client gets, and what is refused.
+//! Answers with lost writers, as tables: what the client gets, and which pieces are rejected.
 
 use std::sync::Arc;
 use std::time::Duration;
-use tulipstall_recovery::{Again, Answer, Final, Next, Refused, Store};
+use tulipstall_recovery::{AbortReason, Again, Answer, Next, Refused, Store};
 
-const WITHIN: Duration = Duration::from_secs(5);
+const RESUME_LIMIT: Duration = Duration::from_secs(5);
 
 fn store() -> Arc<Store> {
     Arc::new(Store::new(1000, 10_000))
@@ -14,116 +14,130 @@
     format!("เรือ{at} ")
 }
 
-/// Says tokens from..to; gives what the client got.
-fn say(answer: &mut Answer, from: u32, to: u32) -> Result<String, Refused> {
+/// Sends tokens `from..to` and returns what the client got.
+fn send(answer: &mut Answer, from: u32, to: u32) -> Result<String, Refused> {
     (from..to).map(|at| answer.piece(Some(at), word(at).as_bytes()).map(str::to_owned)).collect()
 }
 
 #[test]
-fn an_answer_is_whole_over_any_losses() {
-    for cuts in [vec![], vec![0], vec![1], vec![3], vec![7], vec![4, 5, 6], vec![2, 2, 9], vec![5, 5, 5, 5]] {
+fn an_answer_is_complete_after_any_losses() {
+    for losses in [vec![], vec![0], vec![1], vec![3], vec![7], vec![4, 5, 6], vec![2, 2, 9], vec![5, 5, 5, 5]]
+    {
         let mut answer = Answer::new(store(), Again::Harmless, 20);
         let (mut got, mut from) = (String::new(), 0);
-        for cut in &cuts {
-            got += &say(&mut answer, from, *cut).expect("pieces");
-            let Next::GoOn { from: next, most, .. } = answer.lost(Duration::ZERO, WITHIN) else {
-                panic!("{cuts:?}: broken off")
+        for loss in &losses {
+            got += &send(&mut answer, from, *loss).expect("pieces");
+            let Next::GoOn { from: next, most, .. } = answer.lost(Duration::ZERO, RESUME_LIMIT) else {
+                panic!("{losses:?}: aborted")
             };
             assert_eq!(most, 20 - next);
             answer.goes_on();
             from = next;
         }
-        got += &say(&mut answer, from, 12).expect("pieces");
-        assert!(answer.may_end() && answer.tokens() == 12, "{cuts:?}");
-        assert_eq!(got, (0..12).map(word).collect::<String>(), "{cuts:?}");
-        assert_eq!(answer.text(), got, "{cuts:?}");
+        got += &send(&mut answer, from, 12).expect("pieces");
+        assert!(answer.may_end() && answer.tokens() == 12, "{losses:?}");
+        assert_eq!(got, (0..12).map(word).collect::<String>(), "{losses:?}");
+        assert_eq!(answer.text(), got, "{losses:?}");
     }
 }
 
 #[test]
-fn a_writer_that_goes_on_otherwise_is_refused() {
+fn a_writer_that_resumes_differently_is_rejected() {
     let cases: [(&str, Option<u32>, String, Refused); 5] = [
-        ("repeats", Some(3), word(3), Refused::Position),
-        ("skips", Some(5), word(5), Refused::Position),
-        ("does not say where", None, word(4), Refused::Position),
-        ("differs", Some(4), word(9), Refused::Differs),
-        ("begins anew", Some(0), word(0), Refused::Position),
+        ("repeats", Some(3), word(3), Refused::WrongPosition),
+        ("skips", Some(5), word(5), Refused::WrongPosition),
+        ("does not report its position", None, word(4), Refused::WrongPosition),
+        ("differs", Some(4), word(9), Refused::DifferentText),
+        ("starts over", Some(0), word(0), Refused::WrongPosition),
     ];
-    for (what, position, text, wanted) in cases {
+    for (case, position, text, expected) in cases {
         let mut answer = Answer::new(store(), Again::Harmless, 20);
-        say(&mut answer, 0, 8).expect("pieces");
-        assert_eq!(answer.lost(Duration::ZERO, WITHIN), Next::GoOn { from: 4, most: 16, until: WITHIN });
+        send(&mut answer, 0, 8).expect("pieces");
+        assert_eq!(
+            answer.lost(Duration::ZERO, RESUME_LIMIT),
+            Next::GoOn { from: 4, most: 16, until: RESUME_LIMIT }
+        );
         answer.goes_on();
-        assert!(!answer.may_end(), "{what}");
-        assert_eq!(answer.piece(position, text.as_bytes()), Err(wanted), "{what}");
-        // Refused, it is one more loss; the next writer may still do it right.
-        assert!(matches!(answer.lost(Duration::ZERO, WITHIN), Next::GoOn { from: 4, .. }), "{what}");
+        assert!(!answer.may_end(), "{case}");
+        assert_eq!(answer.piece(position, text.as_bytes()), Err(expected), "{case}");
+        // A rejected writer counts as one more loss; the next writer may still resume correctly.
+        assert!(matches!(answer.lost(Duration::ZERO, RESUME_LIMIT), Next::GoOn { from: 4, .. }), "{case}");
         answer.goes_on();
-        assert_eq!(say(&mut answer, 4, 9).expect("pieces"), word(8), "{what}");
+        assert_eq!(send(&mut answer, 4, 9).expect("pieces"), word(8), "{case}");
     }
 }
 
 #[test]
-fn ends_that_are_final() {
+fn an_abort_has_its_reason_and_is_final() {
     let long = "x".repeat(400);
-    type Play = fn(&mut Answer, &str) -> Next;
-    let cases: [(&str, Again, Play, Final); 6] = [
-        ("may have run", Again::Harmful, |a, _| a.lost(Duration::ZERO, WITHIN), Final::Effect),
-        ("past its window", Again::Until(WITHIN / 2), |a, _| a.lost(WITHIN / 2, WITHIN), Final::Effect),
+    type Scenario = fn(&mut Answer, &str) -> Next;
+    let cases: [(&str, Again, Scenario, AbortReason); 6] = [
+        (
+            "may have run",
+            Again::Harmful,
+            |answer, _| answer.lost(Duration::ZERO, RESUME_LIMIT),
+            AbortReason::MayHaveRun,
+        ),
+        (
+            "past its window",
+            Again::Until(RESUME_LIMIT / 2),
+            |answer, _| answer.lost(RESUME_LIMIT / 2, RESUME_LIMIT),
+            AbortReason::MayHaveRun,
+        ),
         (
             "past its window while it waits",
-            Again::Until(WITHIN / 2),
-            |a, _| {
-                let first = Next::GoOn { from: 0, most: 20, until: WITHIN / 2 };
-                assert_eq!(a.lost(Duration::ZERO, WITHIN), first, "no longer than the window");
-                assert_eq!(a.may_move(), None, "two copies at once are not for a referenced one");
-                a.lost(WITHIN / 2, WITHIN)
+            Again::Until(RESUME_LIMIT / 2),
+            |answer, _| {
+                let first = Next::GoOn { from: 0, most: 20, until: RESUME_LIMIT / 2 };
+                assert_eq!(answer.lost(Duration::ZERO, RESUME_LIMIT), first, "no longer than the window");
+                assert_eq!(answer.may_move(), None, "a referenced answer must not run twice at once");
+                answer.lost(RESUME_LIMIT / 2, RESUME_LIMIT)
             },
-            Final::Effect,
+            AbortReason::MayHaveRun,
         ),
         (
             "not held",
             Again::Harmless,
-            |a, long| {
+            |answer, long| {
                 for at in 0..3 {
-                    assert!(a.piece(Some(at), long.as_bytes()).is_ok());
+                    assert!(answer.piece(Some(at), long.as_bytes()).is_ok());
                 }
-                a.lost(Duration::ZERO, WITHIN)
+                answer.lost(Duration::ZERO, RESUME_LIMIT)
             },
-            Final::NotHeld,
+            AbortReason::NotHeld,
         ),
         (
             "too many losses",
             Again::Harmless,
-            |a, _| {
+            |answer, _| {
                 for _ in 0..4 {
-                    assert!(matches!(a.lost(Duration::ZERO, WITHIN), Next::GoOn { .. }));
-                    a.goes_on();
+                    assert!(matches!(answer.lost(Duration::ZERO, RESUME_LIMIT), Next::GoOn { .. }));
+                    answer.goes_on();
                 }
-                a.lost(Duration::ZERO, WITHIN)
+                answer.lost(Duration::ZERO, RESUME_LIMIT)
             },
-            Final::Losses,
+            AbortReason::TooManyLosses,
         ),
         (
             "late",
             Again::Harmless,
-            |a, _| {
-                assert!(matches!(a.lost(Duration::ZERO, WITHIN), Next::GoOn { .. }));
-                // Not begun by anyone: no further loss, but its time is up.
-                a.lost(WITHIN, WITHIN)
+            |answer, _| {
+                assert!(matches!(answer.lost(Duration::ZERO, RESUME_LIMIT), Next::GoOn { .. }));
+                // No writer has started: this is no further loss, but the time is over.
+                answer.lost(RESUME_LIMIT, RESUME_LIMIT)
             },
-            Final::Late,
+            AbortReason::NoWriterInTime,
         ),
     ];
-    for (what, again, play, wanted) in cases {
+    for (case, again, scenario, expected) in cases {
         let mut answer = Answer::new(store(), again, 20);
-        assert_eq!(play(&mut answer, &long), Next::BreakOff(wanted), "{what}");
-        assert_eq!(answer.piece(None, b"x"), Err(Refused::AfterEnd), "{what}");
+        assert_eq!(scenario(&mut answer, &long), Next::BreakOff(expected), "{case}");
+        assert_eq!(answer.piece(None, b"x"), Err(Refused::AfterEnd), "{case}");
     }
 }
 
 #[test]
-fn the_store_is_bounded_and_given_back() {
+fn held_text_is_bounded_and_released() {
     let store = Arc::new(Store::new(100, 250));
     let mut answers: Vec<Answer> =
         (0..5).map(|_| Answer::new(store.clone(), Again::Harmless, 1000)).collect();
@@ -133,92 +147,98 @@
             assert!(store.held() <= 250);
         }
     }
-    let goes_on = |answer: &mut Answer| matches!(answer.lost(Duration::ZERO, WITHIN), Next::GoOn { .. });
-    let held = answers.iter_mut().filter_map(|answer| goes_on(answer).then_some(())).count();
-    assert!(held == 2, "{held} of five fit");
+    let resumes =
+        |answer: &mut Answer| matches!(answer.lost(Duration::ZERO, RESUME_LIMIT), Next::GoOn { .. });
+    let held = answers.iter_mut().filter_map(|answer| resumes(answer).then_some(())).count();
+    assert!(held == 2, "{held} of five answers fit");
     drop(answers);
     assert_eq!(store.held(), 0);
 }
 
 #[test]
-fn no_more_tokens_than_asked_for() {
+fn tokens_beyond_the_maximum_are_rejected() {
     let mut answer = Answer::new(store(), Again::Harmless, 3);
-    assert_eq!(say(&mut answer, 0, 4), Err(Refused::TooMany));
+    assert_eq!(send(&mut answer, 0, 4), Err(Refused::TooMany));
     let mut answer = Answer::new(store(), Again::Harmful, 3);
-    assert_eq!(answer.piece(Some(1), b"x"), Err(Refused::Position));
+    assert_eq!(answer.piece(Some(1), b"x"), Err(Refused::WrongPosition));
     assert_eq!(answer.piece(None, b"x"), Ok("x"));
 }
 
-/// Tokens that break characters: the client gets whole characters only, and a writer that goes on begins where a token
-/// and a character ended together, whatever byte the loss came at.
+/// Tokens that split characters. The client gets complete characters only, and a resuming writer starts where a token and a
+/// character ended together, whichever byte the loss came at.
 #[test]
-fn characters_that_break_over_tokens_are_whole_over_any_loss() {
+fn characters_split_over_tokens_are_complete_after_any_loss() {
     let text = "เรือออกจากท่า8โมง é🛳 ";
-    // Tokens of so many bytes each; also a writer that keeps unfinished bytes to itself and says nothing meanwhile.
-    for (size, holds_back) in [(1, false), (2, false), (5, false), (2, true), (3, true)] {
-        let tokens: Vec<Vec<u8>> = if holds_back {
+    // Tokens of this many bytes each; also a writer that holds the bytes of incomplete characters back and sends empty
+    // tokens meanwhile.
+    for (token_bytes, holds_bytes_back) in [(1, false), (2, false), (5, false), (2, true), (3, true)] {
+        let tokens: Vec<Vec<u8>> = if holds_bytes_back {
             let mut held = 0;
-            let ends = (1..=text.len().div_ceil(size)).map(|i| (i * size).min(text.len()));
-            let cut = |end: usize| (0..=end).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
-            ends.map(|end| text.as_bytes()[std::mem::replace(&mut held, cut(end))..held].to_vec()).collect()
+            let ends = (1..=text.len().div_ceil(token_bytes)).map(|i| (i * token_bytes).min(text.len()));
+            let char_boundary =
+                |end: usize| (0..=end).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+            ends.map(|end| text.as_bytes()[std::mem::replace(&mut held, char_boundary(end))..held].to_vec())
+                .collect()
         } else {
-            text.as_bytes().chunks(size).map(<[u8]>::to_vec).collect()
+            text.as_bytes().chunks(token_bytes).map(<[u8]>::to_vec).collect()
         };
         assert_eq!(tokens.concat(), text.as_bytes());
-        for cut in 0..tokens.len() as u32 {
+        for loss in 0..tokens.len() as u32 {
             let mut answer = Answer::new(store(), Again::Harmless, 100);
             let mut got = String::new();
-            let mut say = |answer: &mut Answer, from: u32, to: u32| {
+            let mut send = |answer: &mut Answer, from: u32, to: u32| {
                 for at in from..to {
                     got += answer.piece(Some(at), &tokens[at as usize]).expect("a piece");
                 }
             };
-            say(&mut answer, 0, cut);
-            let Next::GoOn { from, .. } = answer.lost(Duration::ZERO, WITHIN) else { panic!("{size} {cut}") };
-            // What the new writer is given ends where its tokens begin to be new, and is whole text by its type.
-            assert!(text.starts_with(answer.before()), "{size} {cut}");
-            let known: usize = tokens.iter().take(cut as usize).map(Vec::len).sum();
+            send(&mut answer, 0, loss);
+            let Next::GoOn { from, .. } = answer.lost(Duration::ZERO, RESUME_LIMIT) else {
+                panic!("{token_bytes} {loss}")
+            };
+            // The text given to the new writer ends where its tokens begin to be new; as a `str` it has complete characters.
+            assert!(text.starts_with(answer.before()), "{token_bytes} {loss}");
+            let known: usize = tokens.iter().take(loss as usize).map(Vec::len).sum();
             assert!(
-                answer.before().len() <= known && known - answer.before().len() <= 8 * size,
-                "{size} {cut}"
+                answer.before().len() <= known && known - answer.before().len() <= 8 * token_bytes,
+                "{token_bytes} {loss}"
             );
             answer.goes_on();
-            say(&mut answer, from, tokens.len() as u32);
-            assert!(answer.may_end(), "{size} {cut}");
-            assert_eq!(got, text, "{size} {holds_back} {cut}");
+            send(&mut answer, from, tokens.len() as u32);
+            assert!(answer.may_end(), "{token_bytes} {loss}");
+            assert_eq!(got, text, "{token_bytes} {holds_bytes_back} {loss}");
         }
     }
-    for (bytes, wanted) in [
-        (&b"\xff"[..], Err(Refused::NoText)),
-        (b"\xe0\x41", Err(Refused::NoText)),
+    for (bytes, expected) in [
+        (&b"\xff"[..], Err(Refused::InvalidText)),
+        (b"\xe0\x41", Err(Refused::InvalidText)),
         (b"\xe0", Ok("")),
         (b"a\xe0\xb8", Ok("a")),
     ] {
         let mut answer = Answer::new(store(), Again::Harmful, 100);
-        assert_eq!(answer.piece(None, bytes), wanted, "{bytes:?}");
+        assert_eq!(answer.piece(None, bytes), expected, "{bytes:?}");
     }
-    // Tokens that say nothing for ever: not to be gone on with, and nothing grows.
+    // Tokens without bytes, without end: the answer cannot be resumed, and nothing grows.
     let mut answer = Answer::new(store(), Again::Harmless, 100);
     for at in 0..20 {
         assert_eq!(answer.piece(Some(at), b""), Ok(""));
     }
-    assert_eq!(answer.lost(Duration::ZERO, WITHIN), Next::BreakOff(Final::NotHeld));
+    assert_eq!(answer.lost(Duration::ZERO, RESUME_LIMIT), Next::BreakOff(AbortReason::NotHeld));
 }
 
 #[test]
-fn an_answer_that_moves_counts_it_as_a_loss() {
+fn a_move_counts_as_a_loss() {
     let mut answer = Answer::new(store(), Again::Harmless, 20);
     let mut from = 0;
     for moves in 0..4 {
-        say(&mut answer, from, 6 + moves).expect("pieces");
-        let (next, most) = answer.may_move().expect("it may");
+        send(&mut answer, from, 6 + moves).expect("pieces");
+        let (next, most) = answer.may_move().expect("a move is allowed");
         assert_eq!((next, most), (2 + moves, 18 - moves));
         answer.moved();
-        assert!(!answer.may_end() && answer.may_move().is_none(), "not while it says again what is known");
-        assert_eq!(answer.piece(Some(next), word(99).as_bytes()), Err(Refused::Differs));
+        assert!(!answer.may_end() && answer.may_move().is_none(), "not while known tokens are sent again");
+        assert_eq!(answer.piece(Some(next), word(99).as_bytes()), Err(Refused::DifferentText));
         from = next;
     }
-    assert_eq!(say(&mut answer, from, 10).expect("pieces"), word(9));
-    assert!(answer.may_move().is_none(), "four are enough");
-    assert_eq!(answer.lost(Duration::ZERO, WITHIN), Next::BreakOff(Final::Losses));
+    assert_eq!(send(&mut answer, from, 10).expect("pieces"), word(9));
+    assert!(answer.may_move().is_none(), "no fifth move");
+    assert_eq!(answer.lost(Duration::ZERO, RESUME_LIMIT), Next::BreakOff(AbortReason::TooManyLosses));
 }
--- a/crates/recovery/tests/budget.rs
+++ b/crates/recovery/tests/budget.rs
@@ -1,4 +1,4 @@
-//! What recoveries may cost, as tables of what comes and what follows.
+//! The budget of recoveries, as tables of requests and verdicts.
 
 use std::time::Duration;
 use tulipstall_recovery::budget::{Budget, Verdict, Wish};
@@ -11,10 +11,10 @@
     Wish { reads, has, most: 100, until: ms(4000) }
 }
 
-/// However many ask at once, what they take is the stock, and then what deliveries fill.
+/// However many answers ask at once, they take at most the full budget plus what deliveries refill.
 #[test]
-fn a_storm_takes_the_stock_and_what_is_delivered_no_more() {
-    // Lost at once, tokens delivered after, the share; the most that may be read anew.
+fn a_burst_of_losses_takes_at_most_the_budget_and_its_refill() {
+    // Answers lost at once, tokens delivered afterwards, the share.
     let cases: [(u32, u32, f64); 4] =
         [(2000, 0, 0.25), (2000, 40_000, 0.25), (50, 0, 0.25), (5000, 400_000, 0.1)];
     for (lost, delivered, share) in cases {
@@ -34,51 +34,51 @@
             }
             waiting = refused;
         }
-        let most = 100_000.0 + f64::from(delivered) * share;
-        assert!(read <= most, "{lost} lost, {delivered} delivered: {read} read anew, {most} allowed");
+        let allowed = 100_000.0 + f64::from(delivered) * share;
+        assert!(read <= allowed, "{lost} lost, {delivered} delivered: {read} read again, {allowed} allowed");
         assert!(read > 0.0 && asked >= lost);
         if lost == 50 {
-            assert_eq!(read, 40_000.0, "a small loss is carried whole");
+            assert_eq!(read, 40_000.0, "a small burst is recovered completely");
         }
     }
 }
 
-/// What is nearly done may draw on what others leave alone.
+/// An answer that is nearly complete may use the part of the budget that is reserved from others.
 #[test]
-fn what_is_nearly_done_goes_first() {
+fn nearly_complete_answers_go_first() {
     let mut budget = Budget::new(10_000, 0.25);
-    let gone = |budget: &mut Budget, has: u32| {
+    let granted = |budget: &mut Budget, has: u32| {
         (0..100).filter(|_| budget.ask(ms(0), wish(500, has)) == Verdict::Go).count()
     };
-    assert_eq!(gone(&mut budget, 0), 10, "hardly begun: half of the stock");
-    assert_eq!(gone(&mut budget, 50), 5, "half done: three quarters");
-    assert_eq!(gone(&mut budget, 100), 5, "nearly done: all");
-    assert_eq!(budget.stock(), 0.0);
+    assert_eq!(granted(&mut budget, 0), 10, "hardly begun: half of the budget");
+    assert_eq!(granted(&mut budget, 50), 5, "half done: three quarters");
+    assert_eq!(granted(&mut budget, 100), 5, "nearly done: all");
+    assert_eq!(budget.available(), 0.0);
 }
 
 #[test]
-fn who_cannot_be_served_in_time_is_told_at_once() {
-    // Stock left, delivered tokens a second, until; what follows.
-    type Follows = fn(Verdict) -> bool;
-    let cases: [(u32, u32, u64, Follows); 5] = [
+fn a_recovery_that_would_be_late_is_given_up_at_once() {
+    // Available tokens, delivered tokens per second, deadline in milliseconds; the verdict.
+    type IsExpected = fn(Verdict) -> bool;
+    let cases: [(u32, u32, u64, IsExpected); 5] = [
         (0, 0, 4000, |verdict| verdict == Verdict::GiveUp),
         (0, 8000, 4000, |verdict| matches!(verdict, Verdict::Wait(span) if span >= ms(20))),
         (0, 8000, 1, |verdict| verdict == Verdict::GiveUp),
         (500, 0, 4000, |verdict| verdict == Verdict::Go),
         (499, 0, 4000, |verdict| verdict == Verdict::GiveUp),
     ];
-    for (i, (left, delivered, until, follows)) in cases.into_iter().enumerate() {
+    for (i, (left, delivered, until, is_expected)) in cases.into_iter().enumerate() {
         let mut budget = Budget::new(10_000, 0.25);
         let all = Wish { reads: 10_000 - left, has: 100, most: 100, until: ms(4000) };
         assert_eq!(budget.ask(ms(0), all), Verdict::Go);
-        // What was delivered but went into other recoveries.
+        // Deliveries whose refill other recoveries have used.
         budget.delivered(ms(0), delivered);
         let filled = Wish { reads: delivered / 4, has: 100, most: 100, until: ms(4000) };
         assert_eq!(budget.ask(ms(0), filled), Verdict::Go);
         let verdict = budget.ask(ms(0), Wish { reads: 500, has: 100, most: 100, until: ms(until) });
-        assert!(follows(verdict), "case {i}: {verdict:?}");
+        assert!(is_expected(verdict), "case {i}: {verdict:?}");
     }
-    // More than the stock ever holds.
+    // More than the capacity.
     let mut budget = Budget::new(1000, 0.25);
     budget.delivered(ms(0), 1_000_000);
     assert_eq!(budget.ask(ms(0), wish(1001, 100)), Verdict::GiveUp);
--- a/crates/recovery/tests/orders.rs
+++ b/crates/recovery/tests/orders.rs
@@ -1,52 +1,52 @@
-//! The state machine of one answer under all orders of a handful of events, each tried out to a depth: what the client
-//! has is always a beginning of the answer, an end is for good, nothing stays held.
+//! The state machine of one answer under all orders of five events. The client always has a prefix of the answer, an abort is
+//! final, and no text stays held.
 
 use std::sync::Arc;
 use std::time::Duration;
 use tulipstall_recovery::{Again, Answer, Next, Refused, Store};
 
-/// What a writer and the moment may do next.
+/// An event: what a writer sends, or what happens to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// The writer says its next token.
-    Says,
-    /// Without telling where it is.
-    SaysSomewhere,
-    /// The token before once more.
-    Repeats,
-    /// Leaves one out.
-    Skips,
-    /// Other words, where it says again what the client has.
-    Lies,
-    Lost,
-    /// Another writer begins.
-    GoesOn,
-    /// Another writer takes over while this one still speaks.
-    Moves,
-    /// Half of the time for going on passes.
-    Later,
+    /// The writer sends its next token.
+    Token,
+    /// The writer sends its next token without a position.
+    TokenWithoutPosition,
+    /// The writer sends the previous token again.
+    Repeat,
+    /// The writer skips a token.
+    Gap,
+    /// The writer sends other text where it should send known tokens again.
+    OtherText,
+    Loss,
+    /// Another writer starts after a loss.
+    Resume,
+    /// Another writer takes over while this one still streams.
+    Move,
+    /// Half of the time limit for resuming passes.
+    TimePasses,
 }
 
 const STEPS: [Step; 9] = [
-    Step::Says,
-    Step::SaysSomewhere,
-    Step::Repeats,
-    Step::Skips,
-    Step::Lies,
-    Step::Lost,
-    Step::GoesOn,
-    Step::Moves,
-    Step::Later,
+    Step::Token,
+    Step::TokenWithoutPosition,
+    Step::Repeat,
+    Step::Gap,
+    Step::OtherText,
+    Step::Loss,
+    Step::Resume,
+    Step::Move,
+    Step::TimePasses,
 ];
 
-/// All orders of so many steps: two losses, a refused writer and the end of the time fit in.
+/// Events in each order: enough for two losses, a rejected writer and the end of the time limit.
 const DEPTH: u32 = 5;
-/// Tokens that every order begins with, so that an overlap is there to be broken.
-const BEFORE: [u32; 3] = [0, 2, 6];
-const MOST: u32 = 8;
-const WITHIN: Duration = Duration::from_millis(100);
+/// Tokens sent before the first event: enough in some runs that a resuming writer has known tokens to send again.
+const INITIAL_TOKENS: [u32; 3] = [0, 2, 6];
+const MAX_TOKENS: u32 = 8;
+const RESUME_LIMIT: Duration = Duration::from_millis(100);
 
-/// Each token has other words: a repeat or a gap shows.
+/// Each token has different text, so that a repeat or a gap shows.
 fn token(at: u32) -> String {
     format!("{at}ก")
 }
@@ -55,124 +55,137 @@
     store: Arc<Store>,
     answer: Answer,
     client: String,
-    /// The token that the writer says next; none while there is no writer.
-    writer: Option<u32>,
-    lost: bool,
-    over: Option<Next>,
-    until: Duration,
+    /// The position of the token that the writer sends next; `None` while there is no writer.
+    next_position: Option<u32>,
+    was_lost: bool,
+    aborted: Option<Next>,
+    resume_until: Duration,
     now: Duration,
 }
 
 impl Run {
     fn new(again: Again, before: u32) -> Run {
         let store = Arc::new(Store::new(1000, 1000));
-        let answer = Answer::new(store.clone(), again, MOST);
+        let answer = Answer::new(store.clone(), again, MAX_TOKENS);
         let mut run = Run {
             store,
             answer,
             client: String::new(),
-            writer: Some(0),
-            lost: false,
-            over: None,
-            until: Duration::ZERO,
+            next_position: Some(0),
+            was_lost: false,
+            aborted: None,
+            resume_until: Duration::ZERO,
             now: Duration::ZERO,
         };
-        (0..before).for_each(|_| run.step(Step::Says));
+        (0..before).for_each(|_| run.step(Step::Token));
         run
     }
 
-    fn lose(&mut self) {
-        let again = self.answer.lost(self.now, WITHIN);
-        if let Some(over) = self.over {
-            assert_eq!(again, over, "an end is for good");
+    fn lose_writer(&mut self) {
+        let next = self.answer.lost(self.now, RESUME_LIMIT);
+        if let Some(abort) = self.aborted {
+            assert_eq!(next, abort, "an abort is final");
             return;
         }
-        (self.writer, self.lost) = (None, true);
-        match again {
+        (self.next_position, self.was_lost) = (None, true);
+        match next {
             Next::GoOn { from, most, until } => {
-                assert!(from <= self.answer.tokens() && from + most == MOST);
-                assert!(until > self.now && until <= self.now + WITHIN, "the time for going on is bounded");
-                self.until = until;
+                assert!(from <= self.answer.tokens() && from + most == MAX_TOKENS);
+                assert!(
+                    until > self.now && until <= self.now + RESUME_LIMIT,
+                    "the time for resuming is bounded"
+                );
+                self.resume_until = until;
             }
-            Next::BreakOff(_) => self.over = Some(again),
+            Next::BreakOff(_) => self.aborted = Some(next),
         }
     }
 
-    fn says(&mut self, position: Option<u32>, text: &str, honest: bool) {
-        let had = self.answer.tokens();
-        let said = self.answer.piece(position, text.as_bytes()).map(str::to_owned);
-        match said {
+    fn send(&mut self, position: Option<u32>, text: &str, is_correct: bool) {
+        let tokens_before = self.answer.tokens();
+        let result = self.answer.piece(position, text.as_bytes()).map(str::to_owned);
+        match result {
             Ok(new) => {
-                assert!(self.writer.is_some() && self.over.is_none(), "words of nobody were taken");
-                assert!(honest, "{position:?} {text} was taken");
+                assert!(
+                    self.next_position.is_some() && self.aborted.is_none(),
+                    "a piece was accepted with no writer"
+                );
+                assert!(is_correct, "{position:?} {text} was accepted");
                 self.client.push_str(&new);
-                self.writer = self.writer.map(|at| at + 1);
+                self.next_position = self.next_position.map(|at| at + 1);
             }
             Err(refused) => {
-                assert_eq!(self.answer.tokens(), had);
-                if matches!(refused, Refused::Position | Refused::Differs) {
-                    self.lose();
+                assert_eq!(self.answer.tokens(), tokens_before);
+                if matches!(refused, Refused::WrongPosition | Refused::DifferentText) {
+                    self.lose_writer();
                 }
             }
         }
     }
 
     fn step(&mut self, step: Step) {
-        let at = self.writer.unwrap_or(self.answer.tokens());
-        let overlaps = self.lost && at < self.answer.tokens();
+        let at = self.next_position.unwrap_or(self.answer.tokens());
+        let overlaps = self.was_lost && at < self.answer.tokens();
         match step {
-            Step::Says => self.says(Some(at), &token(at), true),
-            // Nobody can tell a repeat from a word where no position is told: taken from a first writer only.
-            Step::SaysSomewhere => self.says(None, &token(at), !overlaps),
-            Step::Repeats if at > 0 => self.says(Some(at - 1), &token(at - 1), false),
-            Step::Skips => self.says(Some(at + 1), &token(at + 1), false),
-            Step::Lies if overlaps => self.says(Some(at), "other", false),
-            Step::Lost => self.lose(),
-            Step::GoesOn if self.lost && self.over.is_none() && self.writer.is_none() => {
-                let from = match self.answer.lost(self.now, WITHIN) {
+            Step::Token => self.send(Some(at), &token(at), true),
+            // Without a position a repeated token cannot be told from a new one, so that this is accepted only outside of an
+            // overlap.
+            Step::TokenWithoutPosition => self.send(None, &token(at), !overlaps),
+            Step::Repeat if at > 0 => self.send(Some(at - 1), &token(at - 1), false),
+            Step::Gap => self.send(Some(at + 1), &token(at + 1), false),
+            Step::OtherText if overlaps => self.send(Some(at), "other", false),
+            Step::Loss => self.lose_writer(),
+            Step::Resume if self.was_lost && self.aborted.is_none() && self.next_position.is_none() => {
+                let from = match self.answer.lost(self.now, RESUME_LIMIT) {
                     Next::GoOn { from, .. } => from,
-                    over => {
-                        self.over = Some(over);
+                    abort => {
+                        self.aborted = Some(abort);
                         return;
                     }
                 };
                 self.answer.goes_on();
-                self.writer = Some(from);
+                self.next_position = Some(from);
             }
-            Step::Moves if self.writer.is_some() && self.over.is_none() => {
+            Step::Move if self.next_position.is_some() && self.aborted.is_none() => {
                 if let Some((from, most)) = self.answer.may_move() {
-                    assert!(from <= self.answer.tokens() && from + most == MOST);
+                    assert!(from <= self.answer.tokens() && from + most == MAX_TOKENS);
                     self.answer.moved();
-                    (self.writer, self.lost) = (Some(from), true);
+                    (self.next_position, self.was_lost) = (Some(from), true);
                 }
             }
-            Step::Later => self.now += WITHIN / 2,
+            Step::TimePasses => self.now += RESUME_LIMIT / 2,
             _ => {}
         }
-        let whole: String = (0..self.answer.tokens()).map(token).collect();
-        assert_eq!(self.client, whole, "neither a gap nor a double");
-        assert!(self.answer.tokens() <= MOST);
-        assert!(self.over.is_none() || !self.answer.may_end(), "an answer that is over ends whole");
+        let expected: String = (0..self.answer.tokens()).map(token).collect();
+        assert_eq!(self.client, expected, "neither a gap nor a repeat");
+        assert!(self.answer.tokens() <= MAX_TOKENS);
+        assert!(
+            self.aborted.is_none() || !self.answer.may_end(),
+            "an aborted answer must not end as complete"
+        );
         assert!(self.store.held() <= self.client.len());
     }
 }
 
 #[test]
-fn all_orders_of_a_handful_of_events() {
-    let (mut ended, mut whole) = (0u32, 0u32);
+fn all_orders_of_five_events() {
+    let (mut aborted, mut complete) = (0u32, 0u32);
     for again in [Again::Harmless, Again::Harmful] {
-        for before in BEFORE {
+        for before in INITIAL_TOKENS {
             for order in 0..(STEPS.len() as u32).pow(DEPTH) {
                 let mut run = Run::new(again, before);
-                let mut rest = order;
+                let mut remaining = order;
                 for _ in 0..DEPTH {
-                    run.step(STEPS[rest as usize % STEPS.len()]);
-                    rest /= STEPS.len() as u32;
+                    run.step(STEPS[remaining as usize % STEPS.len()]);
+                    remaining /= STEPS.len() as u32;
                 }
-                ended += u32::from(run.over.is_some());
-                whole += u32::from(run.answer.tokens() == MOST);
-                if again == Again::Harmful && run.lost {
-                    assert!(run.over.is_some(), "what may have run is not begun anew");
+                aborted += u32::from(run.aborted.is_some());
+                complete += u32::from(run.answer.tokens() == MAX_TOKENS);
+                if again == Again::Harmful && run.was_lost {
+                    assert!(
+                        run.aborted.is_some(),
+                        "an answer whose effect may have happened must not start again"
+                    );
                 }
                 let store = run.store.clone();
                 drop(run);
@@ -180,5 +193,8 @@
             }
         }
     }
-    assert!(ended > 5000 && whole > 5000, "{ended} ended, {whole} whole: too little was tried");
+    assert!(
+        aborted > 5000 && complete > 5000,
+        "{aborted} aborted, {complete} complete: too few orders reach an end"
+    );
 }
--- a/crates/recovery/tests/silence.rs
+++ b/crates/recovery/tests/silence.rs
@@ -1,3 +1,5 @@
+//! The time-out for silent writers, as a table.
+
 use std::time::Duration;
 use tulipstall_recovery::silence::Silence;
 
@@ -6,28 +8,29 @@
 }
 
 #[test]
-fn how_long_silence_is_borne() {
-    // What the longest silences of whole answers were, how many answers; the pace; from and to.
+fn the_timeout_follows_the_longest_pauses() {
+    // Longest pauses of completed answers in milliseconds, repeated in turn; number of answers; agreed time per token; bounds
+    // of the time-out.
     let cases: [(&[u64], u32, u64, u64, u64); 6] = [
         (&[10], 19, 20, 5000, 5000),
         (&[10], 100, 20, 250, 250),
         (&[10], 100, 100, 800, 800),
         (&[100], 100, 20, 400, 500),
-        // Sometimes long: borne longer than the longest.
+        // Occasional long pauses: the time-out is longer than the longest.
         (&[20, 20, 20, 300], 100, 20, 900, 5000),
         (&[4000], 100, 20, 5000, 5000),
     ];
-    for (longest, answers, pace, from, to) in cases {
+    for (longest, answers, pace_ms, min_ms, max_ms) in cases {
         let mut silence = Silence::default();
         longest.iter().cycle().take(answers as usize).for_each(|longest| silence.note(ms(*longest)));
-        let bears = silence.bears(ms(pace), ms(5000));
-        assert!(bears >= ms(from) && bears <= ms(to), "{longest:?} x {answers}: {bears:?}");
+        let timeout = silence.bears(ms(pace_ms), ms(5000));
+        assert!(timeout >= ms(min_ms) && timeout <= ms(max_ms), "{longest:?} x {answers}: {timeout:?}");
     }
 }
 
-/// Peers that all become slower are not lost: each step up is borne, and what comes is learned from.
+/// All writers become slower by a twentieth per answer: no pause exceeds the time-out, which follows them.
 #[test]
-fn a_fleet_that_becomes_slower_raises_no_alarm() {
+fn slowly_rising_pauses_cause_no_time_out() {
     let mut silence = Silence::default();
     (0..50).for_each(|_| silence.note(ms(20)));
     let mut longest = 20.0;
