--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -496,7 +496,7 @@
     }
 
     /// Takes an idle connection that is neither too old nor stale.
-    pub fn idle(&self) -> Option<Link> {
+    pub fn take_idle(&self) -> Option<Link> {
         self.idle_if(|_| true).map(|(link, _)| link)
     }
 
@@ -518,7 +518,7 @@
 
     /// Takes an idle connection, or opens a new one.
     pub fn take(&self, timeout: Duration) -> Result<Link, Fault> {
-        match self.idle() {
+        match self.take_idle() {
             Some(link) => Ok(link),
             None => Link::connect(&self.address, timeout),
         }
