--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,13 +1,18 @@
-//! What the decisions are told and what they ask for: plain data, no decision.
+//! Input events and output actions of the decision logic ([`crate::Rules`]): plain data without behaviour.
 //!
-//! Times are spans since the dispatcher's own start. Hosts, tasks, offerings, customers, zones and
-//! kinds are small indices given out by [`crate::door`].
+//! The dispatcher is a router in front of model servers. A request is served in two steps: a reader computes the state
+//! (KV cache) of the prompt (prefill), then a writer fetches that state and streams the answer (decode).
+//!
+//! Points in time are durations since the start of the dispatcher. Hosts, tasks, offerings, customers, zones and kinds
+//! are identified by small indices that [`crate::door`] assigns to their names.
+//!
+//! Events and actions are also the lines of recorded runs, so the names of their fields and variants are a file format.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One value told at start.
+/// One configuration value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Term {
     Flag(bool),
@@ -15,11 +20,12 @@
     Text(String),
 }
 
-/// Everything told at start: dotted names (`offerings.0.gain`) to values.
+/// The configuration of the decision logic, fixed at start: dotted names (`offerings.0.gain`) mapped to values.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Terms(pub BTreeMap<String, Term>);
 
 impl Terms {
+    /// The value under this name if it is a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
             Some(Term::Number(value)) if value.is_finite() => Some(*value),
@@ -27,6 +33,7 @@
         }
     }
 
+    /// The value under this name if it is a text.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
             Some(Term::Text(value)) => Some(value),
@@ -34,16 +41,18 @@
         }
     }
 
+    /// Whether the value under this name is `true`; a missing name counts as `false`.
     pub fn flag(&self, name: &str) -> bool {
         matches!(self.0.get(name), Some(Term::Flag(true)))
     }
 
-    /// A name that ends in `_us`, as a span.
+    /// The value under this name, given in microseconds, as a duration. Absent if it is negative.
     pub fn span(&self, name: &str) -> Option<Duration> {
         self.number(name).filter(|us| *us >= 0.0).map(|us| Duration::from_micros(us as u64))
     }
 
-    /// How many entries a list has: `list.0`, `list.1`, … with or without names below them.
+    /// The number of consecutive entries `list.0`, `list.1`, … of a list. An entry is a value of its own
+    /// (`zones.0`) or a group of values (`offerings.0.gain`).
     pub fn entries(&self, list: &str) -> usize {
         let found = |i: usize| {
             let exact = format!("{list}.{i}");
@@ -55,232 +64,261 @@
     }
 }
 
-/// A session's or a shared text's place at the door; `turn` changes when the place gets a new owner.
+/// Identifies a session (a conversation) or a shared text (the start of a prompt that several sessions have in common).
+///
+/// Slots are reused: `turn` is the generation of the slot, which changes when the slot is assigned to another name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
+    /// Index of the slot.
     pub place: u32,
+    /// Generation of the slot.
     pub turn: u32,
-    /// The name's hash: the same at every dispatcher.
+    /// Hash of the name, the same in every dispatcher.
     pub mark: u64,
 }
 
+/// Availability of a host according to the host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
     Running,
+    /// Finishes what it has and takes no new shots.
     Draining,
+    /// Removed from the list.
     #[default]
     Gone,
 }
 
+/// What hosts of a kind (a server type) do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
+    /// Prefills prompts and keeps the resulting state (KV cache) until a writer fetches it.
     Reader,
+    /// Fetches a state from a reader and streams the answer (decode).
     Writer,
+    /// Does both.
     Mixed,
-    /// Its kind is not among those told at start.
+    /// The configuration has no such kind.
     #[default]
     Unknown,
 }
 
-/// One line of the list of hosts.
+/// One entry of the host list. A host is one model server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
     pub host: u32,
-    /// The name's hash: the same at every dispatcher.
+    /// Hash of the name, the same in every dispatcher.
     pub mark: u64,
-    /// How long the process has run; absent: a long time.
+    /// Uptime of the server process; absent if it has been up for long or is not known.
     pub up_for: Option<Duration>,
+    /// The group of servers with fast links between them (a rack) that it belongs to.
     pub cell: u32,
+    /// Availability zone.
     pub zone: u32,
+    /// Relative capacity among hosts of its kind.
     pub weight: f64,
-    /// What its kind does and holds, as told at start.
+    /// Role of its kind, from the configuration.
     pub role: Role,
+    /// Memory of its kind in tokens, from the configuration.
     pub memory_tokens: Option<f64>,
     pub standing: Standing,
 }
 
-/// How a shot ended.
+/// How a shot (one attempt of a request at one server) ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
+    /// The complete answer was received.
     Delivered,
-    /// The prompt has been read and its state waits at the reader.
+    /// The prompt has been prefilled and its state is held at the reader.
     Read,
+    /// The server refused the attempt because it is at capacity.
     Full,
-    /// There was no state to fetch.
+    /// The writer found no state to fetch.
     NoState,
+    /// The server answered with an error.
     Error,
-    /// What came of an answer can't be read: it has run, and the state that it fetched is gone.
+    /// The answer is malformed. The attempt has run, and the state that it fetched is gone.
     Spoilt,
+    /// The connection was lost after the request had been sent.
     Broken,
-    /// The kept connection that it went over had been lost before: it may have run, its host is not to blame.
+    /// The idle (pooled) connection it was sent on had already been lost. It may have run; the host is not to blame.
     Stale,
+    /// No connection to the server could be made.
     NoConnection,
+    /// Its time ran out before an answer.
     TimedOut,
+    /// The dispatcher cancelled it.
     Cancelled,
+    /// It never ran, for a reason that says nothing about the server: it was cancelled before it was sent, the dispatcher's
+    /// own machine failed it, or the server dropped it unstarted at its deadline.
     Moot,
 }
 
 impl Outcome {
-    /// Whether it proves that the shot never ran.
+    /// Whether this outcome proves that the shot produced no effect, so that a repeat is always safe.
     pub fn never_ran(self) -> bool {
         use Outcome::*;
         matches!(self, Read | Full | NoState | NoConnection | Moot)
     }
 
-    /// Whether the server was heard of by it, which proves that the attempt had arrived.
+    /// Whether the server answered, which proves that the attempt had arrived there.
     pub fn is_answered(self) -> bool {
         use Outcome::*;
         matches!(self, Delivered | Read | Full | NoState | Error | Spoilt)
     }
 }
 
-/// A load report, in the order of the names told at start.
+/// A load report of a server. The values stand in the order of the configured names (`report.fields.N`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     pub values: [f64; 4],
+    /// How many of the values were reported.
     pub count: usize,
 }
 
-/// A shot that was sent before the task came to the decisions as it is now, and may have run.
+/// A shot that may have run at a server. A task that continues an interrupted answer carries the one of the earlier
+/// task, since that shot limits which further attempts are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ran {
     pub host: u32,
     pub sent: Duration,
 }
 
+/// A new request of a client. Inside the dispatcher, one request is a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     pub task: u32,
+    /// The service class: a model with its agreed time, effect and worth.
     pub offering: Option<u32>,
+    /// The tenant.
     pub customer: Option<u32>,
+    /// The conversation that the request belongs to.
     pub session: Option<Key>,
+    /// The start of the prompt that several sessions have in common.
     pub shared: Option<Key>,
-    /// Until the client gives this try up.
+    /// Time left until the client gives up on this request.
     pub left: Duration,
-    /// A rough guess of the answer's length, as time at the offering's pace.
+    /// Rough estimate of the answer's length, as time at the offering's token rate.
     pub hint: Option<Duration>,
     pub prompt_tokens: u32,
+    /// Length of the shared start of the prompt.
     pub shared_tokens: u32,
+    /// Upper limit for the tokens of the answer.
     pub most_tokens: u32,
-    /// The client asks again for a task that it has asked for before.
+    /// The client repeats a request that it has made before.
     pub again: bool,
-    /// The first shot that may have run of what this goes on with.
+    /// The first shot that may have run of the interrupted answer that this task continues.
     #[serde(default)]
     pub ran: Option<Ran>,
 }
 
+/// The end of a shot.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Closed {
     pub task: u32,
+    /// Number of the shot within its task, from 0.
     pub shot: u32,
     pub outcome: Outcome,
-    /// The task had ended by then, or ends with this.
+    /// The task had already ended, or ends with this shot.
     pub finished: bool,
-    /// Prompt tokens found kept.
+    /// Prompt tokens that the server found in its prefix cache.
     pub kept_tokens: u32,
     pub load: Option<Load>,
 }
 
+/// One input of the decision logic.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
+    /// A host list was received.
     Hosts {
+        /// The list is complete: hosts that are not on it are gone. Otherwise it holds changes only.
         whole: bool,
         listed: Vec<Listed>,
     },
+    /// The host list could not be obtained.
     ListFailed,
-    /// What hosts are thought to hold of the next order's prompt: host and tokens, as far as that is believed. Who is not
-    /// named holds nothing. Without this the decisions go by their own table.
-    Kept {
-        kept: Vec<(u32, u32)>,
-    },
+    /// Estimate of the cached part of the next order's prompt: host and tokens, weighted by confidence. Hosts that are
+    /// not named have nothing cached. Without this event the decisions use their own table.
+    Kept { kept: Vec<(u32, u32)> },
+    /// A request arrived.
     Order(Order),
-    Started {
-        task: u32,
-        shot: u32,
-    },
+    /// The answer of a shot has begun.
+    Started { task: u32, shot: u32 },
+    /// A shot has ended.
     Closed(Closed),
+    /// Answer to a reservation of capacity at a host. The decisions make none and ignore it.
     Place {
         task: u32,
+        /// The capacity is reserved.
         held: bool,
     },
-    Probed {
-        host: u32,
-        answered: bool,
-        load: Option<Load>,
-    },
-    Timer {
-        token: u64,
-    },
-    ClientGone {
-        task: u32,
-    },
+    /// Result of a probe of a host.
+    Probed { host: u32, answered: bool, load: Option<Load> },
+    /// A timer set by [`Action::Timer`] has expired.
+    Timer { token: u64 },
+    /// The client has closed its connection.
+    ClientGone { task: u32 },
 }
 
-/// What is thought of a host: shots out, own tokens pending to be read and of streams, suspicion up to 1, and how many
-/// times slower than its role it is taken for.
+/// The current estimate of a host's load and health.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Belief {
+    /// Shots of this dispatcher that are in progress there.
     pub shots: u32,
+    /// Prompt tokens that this dispatcher has sent there and that are not read yet.
     pub reading: f64,
+    /// Tokens of this dispatcher's streams there, prompt and answer.
     pub writing: f64,
+    /// Suspicion that the host has failed, from 0 to 1.
     pub doubt: f64,
+    /// How many times slower than usual for its role it is estimated to be; 1 is usual.
     pub slow: f64,
 }
 
-/// Why what servers hold for a request is released.
+/// Why the states that servers hold for a request are released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ReleaseReason {
-    /// No writer will fetch it: the request has ended, or no writer may be sent to in time.
+    /// No writer will fetch the state: the request has ended, or no writer can be used in time.
     Unused,
-    /// Its time is over while an attempt is out whose server has not been heard of.
+    /// The holding time is over while an attempt is in progress whose server has not answered.
     Unanswered,
-    /// Its time is over and it is of no use: a read that told no good end may have left it.
+    /// The holding time is over and the state is of no use: it may stem from a read that reported no success.
     Left,
-    /// The request is over, and a read of it may have left something.
+    /// The request has ended, and a read of it may have left a state.
     Ended,
 }
 
+/// One output of the decision logic.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Action {
+    /// Start a shot at a host. Shots of a task are numbered from 0 in the order of these actions.
     Send {
         task: u32,
         host: u32,
+        /// Deadline of the shot.
         until: Duration,
-        /// When its first byte goes out at the latest: not sent after that.
+        /// Latest time to send the first byte; after that the shot is not sent at all.
         begin_by: Duration,
     },
-    Cancel {
-        task: u32,
-        shot: u32,
-    },
-    /// What servers hold for the task, whatever is out for it.
-    Release {
-        task: u32,
-        reason: ReleaseReason,
-    },
+    /// Cancel a shot that is in progress.
+    Cancel { task: u32, shot: u32 },
+    /// Release the states that servers hold for the task, whether or not a shot of it is in progress.
+    Release { task: u32, reason: ReleaseReason },
+    /// Reject the request, with the advice that a repeat is safe.
     Bounce {
         task: u32,
+        /// Delay to suggest to the client before it retries.
         come_back: Option<Duration>,
     },
-    BreakOff {
-        task: u32,
-    },
-    /// End a running stream in good order; its client comes again.
-    Move {
-        task: u32,
-    },
-    Timer {
-        at: Duration,
-        token: u64,
-    },
+    /// Abort the request: a shot may have had an effect that must not occur twice.
+    BreakOff { task: u32 },
+    /// End a running stream cleanly; the client repeats its request.
+    Move { task: u32 },
+    /// Deliver [`Event::Timer`] with this token at the given time.
+    Timer { at: Duration, token: u64 },
+    /// Request the host list again.
     AskList,
-    /// A line for the one on call.
-    Note {
-        host: u32,
-        what: &'static str,
-    },
-    /// Nothing more will be said of this task: its index may be given out again.
-    Forget {
-        task: u32,
-    },
+    /// A log line for the operator.
+    Note { host: u32, what: &'static str },
+    /// The task is over and no further action names it: its index may be reused.
+    Forget { task: u32 },
 }
