--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,11 +1,11 @@
-//! One dispatcher: its door, its rules, and its part of a reply.
+//! One dispatcher instance: its names, its decision logic, and its part of a reply.
 
 use crate::wire::{Fault, Parts};
 use serde_json::Value;
 use std::fmt::Write;
 use std::time::Duration;
 use tulipstall::Rules;
-use tulipstall::door::Door;
+use tulipstall::door::NameRegistry;
 use tulipstall::interface::{Action, Closed, Event, Key, Listed, Order, Outcome, Standing};
 
 /// One entry of a numbered list, as the process keeps it.
@@ -22,7 +22,7 @@
 pub struct Instance {
     number: u64,
     origin: u64,
-    door: Door,
+    names: NameRegistry,
     rules: Rules,
     actions: Vec<Action>,
 }
@@ -30,8 +30,8 @@
 impl Instance {
     pub fn open(number: u64, seed: u64, start: &Value, clock: u64) -> Self {
         let mut terms = tulipstall_platform::terms(start);
-        let door = Door::open(&mut terms);
-        Instance { number, origin: clock, door, rules: Rules::new(seed, &terms), actions: Vec::new() }
+        let names = NameRegistry::from_terms(&mut terms);
+        Instance { number, origin: clock, names, rules: Rules::new(seed, &terms), actions: Vec::new() }
     }
 
     fn since_start(&self, clock: u64) -> Duration {
@@ -39,13 +39,13 @@
     }
 
     pub fn order(&mut self, clock: u64, parts: &mut Parts, reply: &mut String) -> Result<(), Fault> {
-        let task = self.door.tasks.enter(parts.need("the task")?);
-        let offering = parts.next().and_then(|name| self.door.offerings.find(name));
-        let customer = parts.next().and_then(|name| self.door.customers.find(name));
-        let session = parts.next().map(|name| self.door.sessions.enter(name));
+        let task = self.names.tasks.intern(parts.need("the task")?);
+        let offering = parts.next().and_then(|name| self.names.offerings.find(name));
+        let customer = parts.next().and_then(|name| self.names.customers.find(name));
+        let session = parts.next().map(|name| self.names.sessions.intern(name));
         let left = Duration::from_micros(parts.whole_or("the time left", 0)?);
         let hint = parts.span_or_none("the hint")?;
-        let shared: Option<Key> = parts.next().map(|name| self.door.shared_texts.enter(name));
+        let shared: Option<Key> = parts.next().map(|name| self.names.shared_texts.intern(name));
         let prompt_tokens = parts.number_or("the prompt's length", 0.0)? as u32;
         let shared_tokens = parts.number_or("the shared length", 0.0)? as u32;
         let most_tokens = parts.number_or("the output limit", 0.0)? as u32;
@@ -69,7 +69,7 @@
     }
 
     pub fn started(&mut self, clock: u64, parts: &mut Parts, reply: &mut String) -> Result<(), Fault> {
-        let task = self.door.tasks.find(parts.need("the task")?);
+        let task = self.names.tasks.find(parts.need("the task")?);
         parts.next();
         let shot = parts.whole("the shot's number")? as u32;
         if let Some(task) = task {
@@ -79,7 +79,7 @@
     }
 
     pub fn closed(&mut self, clock: u64, parts: &mut Parts, reply: &mut String) -> Result<(), Fault> {
-        let task = self.door.tasks.find(parts.need("the task")?);
+        let task = self.names.tasks.find(parts.need("the task")?);
         let finished = parts.whole_or("the finished mark", 0)? != 0;
         let (outcome, note) = parts.outcome(|parts| Ok(parts.number_or("the note", 0.0)? as u64))?;
         parts.next();
@@ -96,7 +96,7 @@
     }
 
     pub fn place(&mut self, clock: u64, parts: &mut Parts, reply: &mut String) -> Result<(), Fault> {
-        let task = self.door.tasks.find(parts.need("the task")?);
+        let task = self.names.tasks.find(parts.need("the task")?);
         parts.next();
         parts.next();
         let held = parts.whole_or("the place's answer", 0)? == 1;
@@ -108,7 +108,7 @@
 
     pub fn probed(&mut self, clock: u64, parts: &mut Parts, reply: &mut String) -> Result<(), Fault> {
         parts.next();
-        let host = self.door.hosts.find(parts.need("the host")?);
+        let host = self.names.hosts.find(parts.need("the host")?);
         let answered = parts.whole_or("the outcome", 0)? == 200;
         let load = parts.load()?;
         if let Some(host) = host {
@@ -124,7 +124,7 @@
     }
 
     pub fn client_gone(&mut self, clock: u64, parts: &mut Parts, reply: &mut String) -> Result<(), Fault> {
-        if let Some(task) = self.door.tasks.find(parts.need("the task")?) {
+        if let Some(task) = self.names.tasks.find(parts.need("the task")?) {
             self.tell(clock, &Event::ClientGone { task }, reply);
         }
         Ok(())
@@ -145,10 +145,10 @@
                 standing: row.standing,
                 ..Listed::default()
             };
-            listed.extend(self.door.listed(&row.host, &row.kind, &row.zone, line));
+            listed.extend(self.names.resolve_listed(&row.host, &row.kind, &row.zone, line));
         }
         if whole {
-            self.door.hosts.only(&listed);
+            self.names.hosts.retain_listed(&listed);
         }
         self.tell(clock, &Event::Hosts { whole, listed }, reply);
     }
@@ -163,11 +163,11 @@
         self.actions = actions;
     }
 
-    /// One line for each action. A name that the door does not know prints nothing.
+    /// One line for each action. Nothing is written for an index without a name.
     fn print(&mut self, action: &Action, reply: &mut String) {
         let me = self.number;
-        let task = |task: u32| self.door.tasks.name(task);
-        let host = |host: u32| self.door.hosts.name(host);
+        let task = |task: u32| self.names.tasks.name(task);
+        let host = |host: u32| self.names.hosts.name(host);
         let clock = |at: Duration| self.origin + at.as_micros() as u64;
         // Writing to a string cannot fail.
         let _ = match *action {
@@ -202,7 +202,7 @@
                 writeln!(reply, "REMARK {me} {} {what}", host(h).unwrap_or("a host"))
             }
             Action::Forget { task } => {
-                self.door.tasks.forget(task);
+                self.names.tasks.remove(task);
                 Ok(())
             }
         };
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tulipstall::Rules;
-use tulipstall::door::Door;
+use tulipstall::door::NameRegistry;
 use tulipstall::interface::{
     Action, Belief, Closed, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Term,
     Terms,
@@ -259,7 +259,7 @@
 }
 
 pub struct Core {
-    door: Door,
+    names: NameRegistry,
     rules: Rules,
     paces: Vec<f64>,
     lengths: Vec<Lengths>,
@@ -283,14 +283,14 @@
 
 impl Core {
     pub fn new(seed: u64, mut terms: Terms) -> Self {
-        let door = Door::open(&mut terms);
+        let names = NameRegistry::from_terms(&mut terms);
         let pace = |i: usize| terms.number(&format!("service.token_pace_us.{i}")).unwrap_or(50_000.0) / 1e6;
         let offerings = terms.entries("offerings").max(1);
         Core {
             paces: (0..offerings).map(pace).collect(),
             lengths: vec![Lengths::default(); offerings],
             rules: Rules::new(seed, &terms),
-            door,
+            names,
             lives: Vec::new(),
             free: Vec::new(),
             forgotten: Vec::new(),
@@ -351,11 +351,11 @@
     }
 
     pub fn host_name(&self, host: u32) -> Option<&str> {
-        self.door.hosts.name(host)
+        self.names.hosts.name(host)
     }
 
     pub fn host(&self, name: &str) -> Option<u32> {
-        self.door.hosts.find(name)
+        self.names.hosts.find(name)
     }
 
     /// When the next timer is due.
@@ -402,8 +402,8 @@
             task: task.place,
             offering: Some(ask.offering),
             customer: ask.customer,
-            session: ask.session.as_deref().map(|name| self.door.sessions.enter(name)),
-            shared: ask.shared.as_deref().map(|name| self.door.shared_texts.enter(name)),
+            session: ask.session.as_deref().map(|name| self.names.sessions.intern(name)),
+            shared: ask.shared.as_deref().map(|name| self.names.shared_texts.intern(name)),
             left: ask.left,
             hint: ask.hint.or_else(|| {
                 known.map(|lengths| Duration::from_secs_f64((lengths.mean * pace).clamp(0.0, 1e6)))
@@ -507,14 +507,16 @@
                 standing: row.standing,
                 ..Listed::default()
             };
-            let Some(line) = self.door.listed(&row.host, &row.kind, &row.zone, line) else { continue };
+            let Some(line) = self.names.resolve_listed(&row.host, &row.kind, &row.zone, line) else {
+                continue;
+            };
             self.roles.resize(self.roles.len().max(line.host as usize + 1), Role::Unknown);
             self.roles[line.host as usize] = line.role;
             self.note_start(now, &line);
             listed.push(line);
         }
         if whole {
-            self.door.hosts.only(&listed);
+            self.names.hosts.retain_listed(&listed);
         }
         self.tell(now, Event::Hosts { whole, listed }, out);
     }
--- a/src/door.rs
+++ b/src/door.rs
@@ -1,4 +1,5 @@
-//! Names to small indices, one door for each dispatcher. Every table here is bounded.
+//! Interning of names: maps the names of hosts, tasks, sessions and so on to the small indices that the decisions work
+//! with. Each dispatcher has one registry. Every table is bounded; that of tasks by the tasks in progress.
 
 use crate::interface::{Key, Listed, Role, Standing, Term, Terms};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
@@ -6,18 +7,18 @@
 use std::collections::VecDeque;
 use std::hash::Hasher;
 
-/// Memory bounds only: far above what a dispatcher has in use at once.
-const NAMES: usize = 4096;
-const KEYS: usize = 65_536;
+/// Bounds on memory, far above what a dispatcher has in use at once.
+const MAX_NAMES: usize = 4096;
+const MAX_KEYS: usize = 65_536;
 
-/// A name's hash, without a seed, so that every dispatcher has the same.
+/// Hashes a name without a seed, so that every dispatcher computes the same value.
 pub fn mark(name: &str) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
-/// Names that are not given back: zones, kinds, offerings, customers.
+/// A table of names whose indices are never reused: zones, kinds, offerings, customers.
 #[derive(Default)]
 pub struct Names {
     index: FxHashMap<String, u32>,
@@ -29,12 +30,12 @@
         self.index.get(name).copied()
     }
 
-    /// The name's index; absent once the table is full.
+    /// The index of the name, which is added if it is new; absent once the table is full.
     pub fn enter(&mut self, name: &str) -> Option<u32> {
         if let Some(found) = self.find(name) {
             return Some(found);
         }
-        if self.names.len() >= NAMES {
+        if self.names.len() >= MAX_NAMES {
             return None;
         }
         let index = self.names.len() as u32;
@@ -48,47 +49,51 @@
     }
 }
 
-/// Hosts that have left whose places are kept: what is still known of them fades before a place gets a new owner, and
-/// shots that were out have ended.
-const LEFT: usize = 64;
+/// How many departed hosts keep their slots. By the time a slot is reused, statistics about the departed host have decayed
+/// and its shots have ended.
+const RETAINED_DEPARTED_HOSTS: usize = 64;
 
-/// Hosts: past some that have left, the place of the one that left longest ago gets a new owner. Holds against fleets
-/// whose hosts are replaced under new names for as long as the process lives.
+/// Names of hosts. Once enough hosts have departed, the slot of the one that departed first is reused. Without this, a fleet
+/// whose hosts are replaced under new names would fill the table while the process runs.
 #[derive(Default)]
-pub struct Hosts {
+pub struct HostNames {
     index: FxHashMap<String, u32>,
-    /// Name, how many times it has left, whether it is gone now.
-    names: Vec<(String, u32, bool)>,
-    left: VecDeque<(u32, u32)>,
-    gone: usize,
+    /// Name, number of departures, whether the host is departed now.
+    slots: Vec<(String, u32, bool)>,
+    /// Departures, oldest first: slot and number of departures. Entries of hosts that have come back are stale.
+    departures: VecDeque<(u32, u32)>,
+    /// How many slots belong to departed hosts.
+    departed: usize,
 }
 
-impl Hosts {
+impl HostNames {
     pub fn find(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
     pub fn name(&self, index: u32) -> Option<&str> {
-        self.names.get(index as usize).map(|(name, ..)| name.as_str())
+        self.slots.get(index as usize).map(|(name, ..)| name.as_str())
     }
 
-    /// The index of a host that is there; absent once all places are taken.
-    pub fn enter(&mut self, name: &str) -> Option<u32> {
+    /// The index of a host that is present; absent once the table is full.
+    pub fn intern(&mut self, name: &str) -> Option<u32> {
         if let Some(found) = self.find(name) {
-            self.gone -= usize::from(std::mem::take(&mut self.names[found as usize].2));
+            self.departed -= usize::from(std::mem::take(&mut self.slots[found as usize].2));
             return Some(found);
         }
-        let owner = || (name.to_owned(), 0, false);
-        let index = if self.gone > LEFT || (self.names.len() >= NAMES && self.gone > 0) {
-            let index = self.longest_gone()?;
-            let (before, times, _) = std::mem::replace(&mut self.names[index as usize], owner());
-            self.names[index as usize].1 = times;
-            self.index.remove(&before);
-            self.gone -= 1;
+        let slot = || (name.to_owned(), 0, false);
+        let index = if self.departed > RETAINED_DEPARTED_HOSTS
+            || (self.slots.len() >= MAX_NAMES && self.departed > 0)
+        {
+            let index = self.take_longest_departed()?;
+            let (previous_name, departures, _) = std::mem::replace(&mut self.slots[index as usize], slot());
+            self.slots[index as usize].1 = departures;
+            self.index.remove(&previous_name);
+            self.departed -= 1;
             index
-        } else if self.names.len() < NAMES {
-            self.names.push(owner());
-            self.names.len() as u32 - 1
+        } else if self.slots.len() < MAX_NAMES {
+            self.slots.push(slot());
+            self.slots.len() as u32 - 1
         } else {
             return None;
         };
@@ -96,48 +101,50 @@
         Some(index)
     }
 
-    fn longest_gone(&mut self) -> Option<u32> {
+    fn take_longest_departed(&mut self) -> Option<u32> {
         loop {
-            let (index, times) = self.left.pop_front()?;
-            let (_, now, gone) = self.names[index as usize];
-            if gone && now == times {
+            let (index, departures) = self.departures.pop_front()?;
+            let (_, latest, departed) = self.slots[index as usize];
+            if departed && latest == departures {
                 return Some(index);
             }
         }
     }
 
-    pub fn leaves(&mut self, index: u32) {
-        if let Some((_, times, gone)) = self.names.get_mut(index as usize)
-            && !std::mem::replace(gone, true)
+    /// Notes that a host has departed. Its slot may be reused later.
+    pub fn set_departed(&mut self, index: u32) {
+        if let Some((_, departures, departed)) = self.slots.get_mut(index as usize)
+            && !std::mem::replace(departed, true)
         {
-            *times = times.wrapping_add(1);
-            self.left.push_back((index, *times));
-            self.gone += 1;
+            *departures = departures.wrapping_add(1);
+            self.departures.push_back((index, *departures));
+            self.departed += 1;
         }
     }
 
-    /// A whole list has been entered: who is not on it has left.
-    pub fn only(&mut self, listed: &[Listed]) {
-        let there: FxHashSet<u32> = listed.iter().map(|line| line.host).collect();
-        for index in (0..self.names.len() as u32).filter(|index| !there.contains(index)) {
-            self.leaves(index);
+    /// Notes that every host missing from a complete host list has departed.
+    pub fn retain_listed(&mut self, listed: &[Listed]) {
+        let present: FxHashSet<u32> = listed.iter().map(|line| line.host).collect();
+        for index in (0..self.slots.len() as u32).filter(|index| !present.contains(index)) {
+            self.set_departed(index);
         }
     }
 }
 
-/// Tasks: an index is given out again once the task is forgotten.
+/// Names of tasks. The index of a task is reused once the task is removed.
 #[derive(Default)]
-pub struct Tasks {
+pub struct TaskNames {
     index: FxHashMap<String, u32>,
     names: Slab<String>,
 }
 
-impl Tasks {
+impl TaskNames {
     pub fn find(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
-    pub fn enter(&mut self, name: &str) -> u32 {
+    /// The index of the task, which is added if it is new.
+    pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(found) = self.find(name) {
             return found;
         }
@@ -150,67 +157,73 @@
         self.names.get(index as usize).map(String::as_str)
     }
 
-    pub fn forget(&mut self, index: u32) {
+    pub fn remove(&mut self, index: u32) {
         if let Some(name) = self.names.try_remove(index as usize) {
             self.index.remove(&name);
         }
     }
 }
 
-/// Sessions and shared texts: past the bound the place entered longest ago gets a new owner.
+/// Names of sessions or shared texts. Once the table is full, the oldest slot is reused.
 #[derive(Default)]
-pub struct Keys {
+pub struct KeyNames {
     index: FxHashMap<String, u32>,
-    owners: Vec<(String, u32)>,
-    next: usize,
+    /// Name and generation of each slot.
+    slots: Vec<(String, u32)>,
+    /// The slot that the next new name gets.
+    next_slot: usize,
 }
 
-impl Keys {
-    pub fn enter(&mut self, name: &str) -> Key {
+impl KeyNames {
+    /// The key of the name, which is added if it is new.
+    pub fn intern(&mut self, name: &str) -> Key {
         let mark = mark(name);
         if let Some(&place) = self.index.get(name) {
-            return Key { place, turn: self.owners[place as usize].1, mark };
+            return Key { place, turn: self.slots[place as usize].1, mark };
         }
-        let place = self.next;
-        self.next = (self.next + 1) % KEYS;
+        let place = self.next_slot;
+        self.next_slot = (self.next_slot + 1) % MAX_KEYS;
         self.index.insert(name.to_owned(), place as u32);
-        match self.owners.get_mut(place) {
-            Some((owner, turn)) => {
-                self.index.remove(owner.as_str());
-                name.clone_into(owner);
+        match self.slots.get_mut(place) {
+            Some((current_name, turn)) => {
+                self.index.remove(current_name.as_str());
+                name.clone_into(current_name);
                 *turn = turn.wrapping_add(1);
                 Key { place: place as u32, turn: *turn, mark }
             }
             None => {
-                self.owners.push((name.to_owned(), 1));
+                self.slots.push((name.to_owned(), 1));
                 Key { place: place as u32, turn: 1, mark }
             }
         }
     }
 }
 
+/// All names that one dispatcher knows, with their indices.
 #[derive(Default)]
-pub struct Door {
-    pub hosts: Hosts,
+pub struct NameRegistry {
+    pub hosts: HostNames,
     pub zones: Names,
     pub kinds: Names,
-    roles: Vec<(Role, Option<f64>)>,
+    /// Role and memory in tokens of each configured kind.
+    kind_properties: Vec<(Role, Option<f64>)>,
     pub offerings: Names,
     pub customers: Names,
-    pub tasks: Tasks,
-    pub sessions: Keys,
-    pub shared_texts: Keys,
+    pub tasks: TaskNames,
+    pub sessions: KeyNames,
+    pub shared_texts: KeyNames,
 }
 
-impl Door {
-    /// Enters the names told at start, each list in its order, and tells the terms where the own zone is.
-    pub fn open(terms: &mut Terms) -> Self {
-        let mut door = Door::default();
+impl NameRegistry {
+    /// Adds the configured names, each list in its order, and writes the index of the dispatcher's own zone into the
+    /// configuration as `zone_index` (-1 if there is none).
+    pub fn from_terms(terms: &mut Terms) -> Self {
+        let mut registry = NameRegistry::default();
         for (list, names) in [
-            ("zones", &mut door.zones),
-            ("kinds", &mut door.kinds),
-            ("offerings", &mut door.offerings),
-            ("customers", &mut door.customers),
+            ("zones", &mut registry.zones),
+            ("kinds", &mut registry.kinds),
+            ("offerings", &mut registry.offerings),
+            ("customers", &mut registry.customers),
         ] {
             for i in 0..terms.entries(list) {
                 let name =
@@ -218,31 +231,31 @@
                 names.enter(name.unwrap_or_default());
             }
         }
-        let zone = terms.text("zone").and_then(|zone| door.zones.find(zone));
+        let zone = terms.text("zone").and_then(|zone| registry.zones.find(zone));
         terms.0.insert("zone_index".to_owned(), Term::Number(zone.map_or(-1.0, f64::from)));
-        door.roles = (0..terms.entries("kinds")).map(|i| kind(terms, i)).collect();
-        door
+        registry.kind_properties = (0..terms.entries("kinds")).map(|i| kind_properties(terms, i)).collect();
+        registry
     }
 
-    /// A line of the list of hosts as the decisions know it: `line` has what needs no name. Absent once a table of
-    /// names is full.
-    pub fn listed(&mut self, host: &str, kind: &str, zone: &str, line: Listed) -> Option<Listed> {
-        let (index, zone) = (self.hosts.enter(host)?, self.zones.enter(zone)?);
+    /// Builds a host list entry from the names of the host, its kind and its zone; `line` has the fields that do not
+    /// depend on names. Absent once a table of names is full.
+    pub fn resolve_listed(&mut self, host: &str, kind: &str, zone: &str, line: Listed) -> Option<Listed> {
+        let (index, zone) = (self.hosts.intern(host)?, self.zones.enter(zone)?);
         if line.standing == Standing::Gone {
-            self.hosts.leaves(index);
+            self.hosts.set_departed(index);
         }
-        let (role, memory_tokens) = self.role(kind);
+        let (role, memory_tokens) = self.role_and_memory(kind);
         Some(Listed { host: index, mark: mark(host), zone, role, memory_tokens, ..line })
     }
 
-    /// Role and memory in tokens of a kind of host, as told at start.
-    pub fn role(&self, kind: &str) -> (Role, Option<f64>) {
-        let found = self.kinds.find(kind).and_then(|kind| self.roles.get(kind as usize));
+    /// Role and memory in tokens of a kind of host, from the configuration.
+    pub fn role_and_memory(&self, kind: &str) -> (Role, Option<f64>) {
+        let found = self.kinds.find(kind).and_then(|kind| self.kind_properties.get(kind as usize));
         found.copied().unwrap_or_default()
     }
 }
 
-fn kind(terms: &Terms, i: usize) -> (Role, Option<f64>) {
+fn kind_properties(terms: &Terms, i: usize) -> (Role, Option<f64>) {
     let role = match terms.text(&format!("service.role_by_kind.{i}")) {
         Some("read") => Role::Reader,
         Some("write") => Role::Writer,
@@ -256,49 +269,66 @@
 mod tests {
     use super::*;
 
-    /// A fleet of ten, one replaced under a new name each time: places are given anew, never one that is still there or
-    /// has left of late, and a host that comes back in time has its own.
+    /// A fleet of ten hosts, one of which is replaced under a new name in each step. Slots are reused, but never that of a
+    /// host that is present or has departed recently, and a host that returns in time gets its own slot back.
     #[test]
-    fn replaced_hosts_get_their_places_anew() {
+    fn slots_of_replaced_hosts_are_reused() {
         let line = |standing| Listed { standing, ..Listed::default() };
         for whole in [false, true] {
-            let mut door = Door::default();
-            let mut there: VecDeque<(String, u32)> = VecDeque::new();
-            let mut left: Vec<u32> = Vec::new();
+            let mut registry = NameRegistry::default();
+            let mut present: VecDeque<(String, u32)> = VecDeque::new();
+            let mut departed: Vec<u32> = Vec::new();
             for i in 0..10_000 {
                 let name = format!("h{i}");
-                let host = door.listed(&name, "k", "z", line(Standing::Running)).expect("a place").host;
-                assert!(there.iter().all(|(_, other)| *other != host), "{i}: a host's place is given away");
-                assert!(!left.iter().rev().take(LEFT - 1).any(|other| *other == host), "{i}: too early");
-                there.push_back((name, host));
-                if there.len() > 10 {
-                    let (name, host) = there.pop_front().expect("ten");
+                let host = registry
+                    .resolve_listed(&name, "k", "z", line(Standing::Running))
+                    .expect("a free slot")
+                    .host;
+                assert!(
+                    present.iter().all(|(_, other)| *other != host),
+                    "{i}: the slot of a present host was reused"
+                );
+                assert!(
+                    !departed.iter().rev().take(RETAINED_DEPARTED_HOSTS - 1).any(|other| *other == host),
+                    "{i}: the slot was reused too early"
+                );
+                present.push_back((name, host));
+                if present.len() > 10 {
+                    let (name, host) = present.pop_front().expect("ten hosts");
                     if whole {
-                        let listed: Vec<Listed> = there
+                        let listed: Vec<Listed> = present
                             .iter()
                             .map(|(_, host)| Listed { host: *host, ..Listed::default() })
                             .collect();
-                        door.hosts.only(&listed);
+                        registry.hosts.retain_listed(&listed);
                     } else {
                         assert_eq!(
-                            door.listed(&name, "k", "z", line(Standing::Gone)).map(|l| l.host),
+                            registry.resolve_listed(&name, "k", "z", line(Standing::Gone)).map(|l| l.host),
                             Some(host)
                         );
                     }
-                    left.push(host);
-                    // One in seven is back before anybody could take its place, and leaves again.
+                    departed.push(host);
+                    // One in seven returns before its slot can be reused, and departs again.
                     if i % 7 == 0 {
                         assert_eq!(
-                            door.listed(&name, "k", "z", line(Standing::Running)).map(|l| l.host),
+                            registry.resolve_listed(&name, "k", "z", line(Standing::Running)).map(|l| l.host),
                             Some(host)
                         );
-                        door.hosts.leaves(host);
-                        left.push(host);
+                        registry.hosts.set_departed(host);
+                        departed.push(host);
                     }
                 }
             }
-            assert!(door.hosts.names.len() < 10 + LEFT + 5, "{} places", door.hosts.names.len());
-            assert!(door.hosts.left.len() < 4 * LEFT, "{} have left", door.hosts.left.len());
+            assert!(
+                registry.hosts.slots.len() < 10 + RETAINED_DEPARTED_HOSTS + 5,
+                "{} slots in use",
+                registry.hosts.slots.len()
+            );
+            assert!(
+                registry.hosts.departures.len() < 4 * RETAINED_DEPARTED_HOSTS,
+                "{} departures queued",
+                registry.hosts.departures.len()
+            );
         }
     }
 }
