--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -145,7 +145,7 @@
                 standing: row.standing,
                 ..Listed::default()
             };
-            listed.extend(self.names.resolve_listed(&row.host, &row.kind, &row.zone, line));
+            listed.extend(self.names.resolve(&row.host, &row.kind, &row.zone, line));
         }
         if whole {
             self.names.hosts.retain_listed(&listed);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,8 @@
-//! A task's life between what happens to it and what the decisions ask for. Inputs with a time go in, outputs
-//! come out: no socket, no clock, no chance. The dispatcher drives it by sockets; whatever else drives it gets
-//! the same answers. What to do is decided by [`tulipstall::Rules`] alone; here it is carried to its shots.
+//! The life cycle of a task (one client request inside the dispatcher), without I/O. Inputs with a time go in, outputs come
+//! out; there is no socket, no clock and no randomness of its own, so that the same inputs always give the same outputs.
+//!
+//! [`tulipstall::Rules`] alone decides what to do. [`Core`] translates inputs to its events, keeps track of the shots
+//! (attempts at servers) and server-side states of each task, and translates its actions to outputs.
 
 mod record;
 
@@ -20,262 +22,288 @@
 use tulipstall_prefix::chain::BLOCK;
 use tulipstall_prefix::{Kept, Prefixes};
 
-/// A task in hand: its place, and which of the place's owners it is.
+/// Identifies a task in progress: its slot, and the generation of the slot, which changes each time the slot is reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     pub place: u32,
     pub turn: u32,
 }
 
-/// One line of a list of hosts, by names.
+/// One entry of a host list, with names instead of indices (see [`Listed`]).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub host: String,
     pub kind: String,
     pub zone: String,
     pub cell: u32,
+    /// Relative capacity among hosts of its kind.
     pub weight: f64,
+    /// Uptime of the server process; absent if it has been up for long or is not known.
     pub up_for: Option<Duration>,
     pub standing: Standing,
 }
 
-/// What a client asks, by names.
+/// The request of a client, with names instead of indices (see [`Order`]).
 #[derive(Clone, Debug, Default)]
 pub struct Ask {
     pub offering: u32,
     pub customer: Option<u32>,
     pub session: Option<String>,
+    /// Name of the start of the prompt that several sessions have in common.
     pub shared: Option<String>,
+    /// Time left until the client gives up on this request.
     pub left: Duration,
     pub prompt_tokens: u32,
+    /// Length of the shared start of the prompt.
     pub shared_tokens: u32,
+    /// Upper limit for the tokens of the answer.
     pub most_tokens: u32,
+    /// The client repeats a request that it has made before.
     pub again: bool,
-    /// A guess of the answer's length as time at the offering's pace; absent: from the answers so far.
+    /// Estimate of the answer's length, as time at the offering's token rate; if absent, the average of earlier answers is
+    /// used.
     pub hint: Option<Duration>,
-    /// The first shot that may have run of the answer that this goes on with.
+    /// The first shot that may have run of the interrupted answer that this request continues.
     pub ran: Option<Ran>,
     /// The prompt as a chain of hashed blocks (`tulipstall_prefix::chain`).
     pub chain: Arc<[u64]>,
 }
 
-/// How a shot ended, with what its answer told.
+/// What the answer to a shot reported.
 #[derive(Clone, Debug, Default)]
 pub struct End {
+    /// Prompt tokens that the server found in its prefix cache.
     pub kept_tokens: u32,
-    /// Tokens of the prompt as the engine counted them, of which those were kept; 0 where it did not say.
+    /// All prompt tokens as the engine counted them; 0 if it did not report them.
     pub prompt_tokens: u32,
-    /// Tokens that the whole answer had, where it was delivered.
+    /// Tokens of the complete answer, if it was delivered.
     pub answer_tokens: u32,
     pub load: Option<Load>,
-    /// The reader's name for the state that it holds now, or may hold where the read told no good end.
+    /// The reader's name for the state (KV cache of the prompt) that it holds now, or may hold if the read did not report
+    /// success.
     pub state: Option<String>,
-    /// That reader.
+    /// The reader that holds the state.
     pub host: u32,
 }
 
-/// A state that waits at a reader.
+/// A state (KV cache of a prompt) that a reader holds until a writer fetches it or it is released.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
     pub host: u32,
+    /// The reader's name for the state.
     pub state: String,
-    /// Prompt tokens that the reader found kept.
+    /// Prompt tokens that the reader found in its prefix cache.
     pub kept_tokens: u32,
 }
 
+/// An input of [`Core`].
 #[derive(Clone, Debug)]
 pub enum Input {
+    /// A host list was received.
     Listed {
+        /// The list is complete: hosts that are not on it are gone. Otherwise it holds changes only.
         whole: bool,
         rows: Vec<Row>,
     },
-    Began {
-        task: TaskId,
-        shot: u32,
-    },
-    Closed {
-        task: TaskId,
-        shot: u32,
-        outcome: Outcome,
-        end: End,
-    },
-    /// The client left, or its task was broken off from outside: nothing more is owed.
-    Gone {
-        task: TaskId,
-    },
-    /// Time has passed.
+    /// The answer of a shot has begun.
+    Began { task: TaskId, shot: u32 },
+    /// A shot has ended.
+    Closed { task: TaskId, shot: u32, outcome: Outcome, end: End },
+    /// The client closed its connection, or the task was aborted from outside: it needs no answer.
+    Gone { task: TaskId },
+    /// Time has passed: expires timers.
     Tick,
 }
 
-/// What a shot is to do.
+/// The work of a shot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Errand {
+    /// Prefill the prompt and hold the state for a writer.
     Read,
+    /// Fetch the state from its reader and stream the answer.
     Write,
+    /// Prefill the prompt and stream the answer at one host.
     Whole,
 }
 
+/// An output of [`Core`], to be carried out by its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
+    /// Start a shot at a host.
     Send {
         task: TaskId,
         shot: u32,
         host: u32,
         errand: Errand,
+        /// Deadline of the shot.
         until: Duration,
-        /// When its first byte goes out at the latest.
+        /// Latest time to send the first byte; after that the shot is not sent at all.
         begin_by: Duration,
+        /// The state to fetch.
         held: Option<Held>,
     },
-    Cancel {
-        task: TaskId,
-        shot: u32,
-    },
-    /// Sure: its reader told of it. Else it may be there, and may come yet where its reader can't be reached.
+    /// Cancel a shot that is in progress.
+    Cancel { task: TaskId, shot: u32 },
+    /// Release a state at its reader.
     Release {
         held: Held,
+        /// The reader reported the state. Otherwise it is only possible that the state exists, and it may still be created
+        /// later if the reader cannot be reached.
         sure: bool,
         reason: ReleaseReason,
     },
+    /// Reject the request, with the advice that a repeat is safe.
     Bounce {
         task: TaskId,
+        /// Delay to suggest to the client before it retries.
         come_back: Option<Duration>,
     },
-    BreakOff {
-        task: TaskId,
-    },
-    Note {
-        host: u32,
-        what: &'static str,
-    },
-    /// This is the first shot of the task that may have run, as far as is known: who goes on with its answer says
-    /// so in [`Ask::ran`].
-    Ran {
-        task: TaskId,
-        ran: Ran,
-    },
-    Forget {
-        task: TaskId,
-    },
+    /// Abort the request: a shot may have had an effect that must not occur twice.
+    BreakOff { task: TaskId },
+    /// A log line for the operator.
+    Note { host: u32, what: &'static str },
+    /// The first shot of the task that may have run, as known so far. A request that continues the answer of this task
+    /// passes it on in [`Ask::ran`].
+    Ran { task: TaskId, ran: Ran },
+    /// The task is over and no further output names it.
+    Forget { task: TaskId },
 }
 
 #[derive(Clone, Copy, Default)]
 struct Shot {
     host: u32,
     sent: Duration,
-    reads: bool,
-    out: bool,
-    began: bool,
+    is_read: bool,
+    active: bool,
+    answer_began: bool,
 }
 
 #[derive(Default)]
-struct Life {
-    turn: u32,
+struct TaskEntry {
+    /// How many tasks the slot has had, including this one.
+    generation: u32,
+    /// The slot has a task.
     live: bool,
     offering: u32,
-    /// It has its final answer, or its client has left.
+    /// The task has its final answer, or its client has disconnected.
     ended: bool,
     /// The shot whose answer the client gets.
-    owner: Option<u32>,
+    answering_shot: Option<u32>,
     shots: Vec<Shot>,
-    /// The last shot that read and answers.
-    whole: Option<u32>,
+    /// The last shot that both prefills and answers.
+    last_combined_shot: Option<u32>,
+    /// The prompt as a chain of hashed blocks.
     chain: Arc<[u64]>,
-    /// Blocks of it that hosts are thought to hold.
-    thought: Vec<(u32, u32)>,
-    /// The first shot that may have run, of all of the task and of what it goes on with.
-    ran: Option<Ran>,
+    /// Estimate of what hosts have cached of the chain: host and blocks.
+    estimated_blocks: Vec<(u32, u32)>,
+    /// The first shot that may have run, of this task and of the one whose answer it continues.
+    first_possible_run: Option<Ran>,
+    /// The state for the next writer.
     held: Option<Held>,
-    /// The state that was released while an attempt was out, which may have waited for it: released again if the attempt
-    /// ends without it.
+    /// The state that was released while an attempt was in progress. The attempt may have been waiting for it at the server,
+    /// so it is released again if the attempt ends without having used it.
     released_under_attempt: Option<Held>,
-    /// States that reads may have left which told no good end, or told it late: let go of with the task.
-    left: Vec<Held>,
+    /// States that may exist because a read did not report success, or reported it late. Released with the task.
+    unconfirmed: Vec<Held>,
 }
 
-impl Life {
-    /// Notes what a read may have left, once for each name.
-    fn leaves(&mut self, held: Option<Held>) {
-        let known = |held: &Held| self.left.iter().any(|left| left.state == held.state);
-        self.left.extend(held.filter(|held| !known(held)));
+impl TaskEntry {
+    /// Adds a state that a read may have left, once for each name.
+    fn add_unconfirmed(&mut self, held: Option<Held>) {
+        let known = |held: &Held| self.unconfirmed.iter().any(|other| other.state == held.state);
+        self.unconfirmed.extend(held.filter(|held| !known(held)));
     }
 
-    /// Notes a shot that may have run; whether it is the first now.
-    fn may_have_run(&mut self, ran: Ran) -> bool {
-        let first = self.ran.is_none_or(|first| ran.sent < first.sent);
+    /// Notes a shot that may have run. Returns whether it is now the first one.
+    fn note_possible_run(&mut self, ran: Ran) -> bool {
+        let first = self.first_possible_run.is_none_or(|first| ran.sent < first.sent);
         if first {
-            self.ran = Some(ran);
+            self.first_possible_run = Some(ran);
         }
         first
     }
 }
 
-/// Answers' lengths of one offering as they were produced, fading by answers.
+/// Moving average of the answer lengths of one offering.
 #[derive(Clone, Copy, Default)]
-struct Lengths {
-    mean: f64,
-    seen: u32,
+struct AnswerLengths {
+    mean_tokens: f64,
+    samples: u32,
 }
 
-impl Lengths {
+impl AnswerLengths {
     fn add(&mut self, tokens: f64) {
-        self.seen = self.seen.saturating_add(1);
-        // The plain mean of the first twenty, then a twentieth for each: follows a change within some dozens.
-        self.mean += (tokens - self.mean) / f64::from(self.seen.min(20));
+        self.samples = self.samples.saturating_add(1);
+        // The arithmetic mean of the first 20 answers, then an exponential average with weight 1/20, which follows a
+        // change within a few dozen answers.
+        self.mean_tokens += (tokens - self.mean_tokens) / f64::from(self.samples.min(20));
     }
 }
 
-/// How long after its time a shot may tell its end: a tick or two of the scheduler, well inside the margin that
-/// answers are given before their client's time.
-const OVERDUE: Duration = Duration::from_millis(8);
+/// How long after its deadline a shot may still report its end: one or two scheduler ticks, well inside the margin by which
+/// answers precede the client's own deadline.
+const OVERDUE_GRACE: Duration = Duration::from_millis(8);
 
-/// Counts that only grow.
+/// Counters that only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
+    /// Tasks accepted.
     pub taken: u64,
+    /// Tasks whose answer was delivered completely.
     pub delivered: u64,
+    /// Tasks rejected with retry advice.
     pub bounced: u64,
+    /// Tasks aborted, or whose answer ended early.
     pub broken_off: u64,
+    /// Tasks whose client disconnected before the end.
     pub client_left: u64,
+    /// Shots started.
     pub shots: u64,
-    /// Shots whose end had not been told by their time.
+    /// Shots that had not reported their end by their deadline.
     pub overdue: u64,
-    /// Over all reads: tokens in blocks, those of them thought kept where they were read, those of these found.
+    /// Prompt tokens in blocks, over all reads.
     pub read_tokens: u64,
+    /// Of those, tokens that were estimated to be cached where they were read.
     pub thought_tokens: u64,
+    /// Of those, tokens that the server did find cached.
     pub found_tokens: u64,
-    /// Hosts that were seen to have forgotten.
+    /// How many times a host was found to have lost its cache.
     pub forgot: u64,
 }
 
-/// How it is known which host holds which opening text.
+/// The source of estimates which host has which prompt prefix cached.
 pub enum Prefix {
-    /// By the decisions' own table of sessions and shared texts.
+    /// The decisions' own table of sessions and shared texts.
     Table,
-    /// By content.
+    /// An index of prompt contents.
     Content(Box<Prefixes>),
-    /// Not at all: a baseline.
+    /// No estimates at all, as a baseline for comparison.
     Nothing,
 }
 
+/// The tasks of one dispatcher, with its decision logic.
 pub struct Core {
     names: NameRegistry,
     rules: Rules,
-    paces: Vec<f64>,
-    lengths: Vec<Lengths>,
-    lives: Vec<Life>,
-    free: Vec<u32>,
-    /// Places to be free once what was put out is carried out: until then outputs name who had them.
-    forgotten: Vec<u32>,
+    /// Seconds per answer token, by offering.
+    token_pace_s: Vec<f64>,
+    answer_lengths: Vec<AnswerLengths>,
+    /// The tasks by slot.
+    entries: Vec<TaskEntry>,
+    free_slots: Vec<u32>,
+    /// Slots of ended tasks, not free until the outputs that name these tasks have been carried out.
+    ended_slots: Vec<u32>,
     in_hand: usize,
     prefixes: Prefix,
-    kept: Vec<Kept>,
-    /// When each host's process began, and whether it is listed.
-    starts: Vec<(Duration, bool)>,
+    /// Buffer for one prompt's estimates.
+    cached: Vec<Kept>,
+    /// For each host, when its process started, and whether it is listed.
+    process_starts: Vec<(Duration, bool)>,
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    /// When each shot is overdue: place, turn, shot.
-    overdue: BinaryHeap<Reverse<(Duration, u32, u32, u32)>>,
-    roles: Vec<Role>,
+    /// When each shot becomes overdue: time, slot, generation, shot.
+    overdue_at: BinaryHeap<Reverse<(Duration, u32, u32, u32)>>,
+    host_roles: Vec<Role>,
+    /// Buffer for the actions of one event.
     actions: Vec<Action>,
     recorder: Option<Box<dyn Recorder>>,
     counts: Counts,
@@ -287,32 +315,32 @@
         let pace = |i: usize| terms.number(&format!("service.token_pace_us.{i}")).unwrap_or(50_000.0) / 1e6;
         let offerings = terms.entries("offerings").max(1);
         Core {
-            paces: (0..offerings).map(pace).collect(),
-            lengths: vec![Lengths::default(); offerings],
+            token_pace_s: (0..offerings).map(pace).collect(),
+            answer_lengths: vec![AnswerLengths::default(); offerings],
             rules: Rules::new(seed, &terms),
             names,
-            lives: Vec::new(),
-            free: Vec::new(),
-            forgotten: Vec::new(),
+            entries: Vec::new(),
+            free_slots: Vec::new(),
+            ended_slots: Vec::new(),
             in_hand: 0,
             prefixes: Prefix::Table,
-            kept: Vec::new(),
-            starts: Vec::new(),
+            cached: Vec::new(),
+            process_starts: Vec::new(),
             timers: BinaryHeap::new(),
-            overdue: BinaryHeap::new(),
-            roles: Vec::new(),
+            overdue_at: BinaryHeap::new(),
+            host_roles: Vec::new(),
             actions: Vec::new(),
             recorder: None,
             counts: Counts::default(),
         }
     }
 
-    /// How opening texts are known; before the first event only.
+    /// Sets the source of prefix estimates. Call it before the first input only.
     pub fn set_prefix(&mut self, prefix: Prefix) {
         self.prefixes = prefix;
     }
 
-    /// What is known by content, if it is.
+    /// The index of prompt contents, if it is in use.
     pub fn prefixes(&self) -> Option<&Prefixes> {
         match &self.prefixes {
             Prefix::Content(prefixes) => Some(prefixes),
@@ -320,16 +348,16 @@
         }
     }
 
-    /// What each host is thought to hold of a chain, longest first, as it would be told to the decisions now.
+    /// The current estimate of what each host has cached of a chain, longest first, as the decisions would get it.
     pub fn kept_of(&mut self, now: Duration, chain: &[u64]) -> Vec<Kept> {
-        let mut kept = Vec::new();
+        let mut cached = Vec::new();
         if let Prefix::Content(prefixes) = &mut self.prefixes {
-            prefixes.ask(now, chain, &mut kept);
+            prefixes.ask(now, chain, &mut cached);
         }
-        kept
+        cached
     }
 
-    /// As [`Core::new`], with every event and its actions told to a recorder.
+    /// Like [`Core::new`], and passes every event and its actions to a recorder.
     pub fn recorded(seed: u64, terms: Terms, mut recorder: Box<dyn Recorder>) -> Self {
         recorder.start(seed, &terms);
         let mut core = Core::new(seed, terms);
@@ -341,13 +369,14 @@
         self.counts
     }
 
+    /// How many tasks are in progress.
     pub fn in_hand(&self) -> usize {
         self.in_hand
     }
 
-    /// What the decisions think of each host that matters to them, by its index.
+    /// The decisions' current estimate of each host that is running or has shots in progress, by its index.
     pub fn beliefs(&self, now: Duration) -> impl Iterator<Item = (u32, Belief)> {
-        (0..self.roles.len() as u32).filter_map(move |host| Some((host, self.rules.belief(host, now)?)))
+        (0..self.host_roles.len() as u32).filter_map(move |host| Some((host, self.rules.belief(host, now)?)))
     }
 
     pub fn host_name(&self, host: u32) -> Option<&str> {
@@ -358,46 +387,54 @@
         self.names.hosts.find(name)
     }
 
-    /// When the next timer is due.
+    /// When the next [`Input::Tick`] is due.
     pub fn next_timer(&self) -> Option<Duration> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let overdue = self.overdue.peek().map(|Reverse((at, ..))| *at);
+        let overdue = self.overdue_at.peek().map(|Reverse((at, ..))| *at);
         [timer, overdue].into_iter().flatten().min()
     }
 
-    fn life(&mut self, task: TaskId) -> Option<&mut Life> {
-        self.lives.get_mut(task.place as usize).filter(|life| life.live && life.turn == task.turn)
+    fn entry(&mut self, task: TaskId) -> Option<&mut TaskEntry> {
+        self.entries.get_mut(task.place as usize).filter(|entry| entry.live && entry.generation == task.turn)
     }
 
-    /// All that was put out has been carried out: the places of tasks that are over may be given anew.
+    /// Notes that all outputs so far have been carried out: the slots of ended tasks may be reused.
     pub fn carried_out(&mut self) {
-        self.free.append(&mut self.forgotten);
+        self.free_slots.append(&mut self.ended_slots);
     }
 
-    /// Gives a new task its place. It is in hand from here on; `arrive` tells the decisions of it.
+    /// Assigns a slot to a new task, which counts as in progress from here on. [`Core::arrive`] then starts it.
     pub fn enter(&mut self) -> TaskId {
-        let place = self.free.pop().unwrap_or_else(|| {
-            self.lives.push(Life::default());
-            self.lives.len() as u32 - 1
+        let place = self.free_slots.pop().unwrap_or_else(|| {
+            self.entries.push(TaskEntry::default());
+            self.entries.len() as u32 - 1
         });
-        let life = &mut self.lives[place as usize];
-        let (mut shots, mut thought) = (std::mem::take(&mut life.shots), std::mem::take(&mut life.thought));
+        let entry = &mut self.entries[place as usize];
+        let (mut shots, mut estimated_blocks) =
+            (std::mem::take(&mut entry.shots), std::mem::take(&mut entry.estimated_blocks));
         shots.clear();
-        thought.clear();
-        *life = Life { turn: life.turn.wrapping_add(1), live: true, shots, thought, ..Life::default() };
+        estimated_blocks.clear();
+        *entry = TaskEntry {
+            generation: entry.generation.wrapping_add(1),
+            live: true,
+            shots,
+            estimated_blocks,
+            ..TaskEntry::default()
+        };
         self.in_hand += 1;
-        TaskId { place, turn: life.turn }
+        TaskId { place, turn: entry.generation }
     }
 
+    /// Passes a new task to the decisions.
     pub fn arrive(&mut self, now: Duration, task: TaskId, ask: &Ask, out: &mut Vec<Output>) {
-        let Some(life) = self.life(task) else { return };
-        (life.offering, life.ran) = (ask.offering, ask.ran);
-        life.chain = ask.chain.clone();
+        let Some(entry) = self.entry(task) else { return };
+        (entry.offering, entry.first_possible_run) = (ask.offering, ask.ran);
+        entry.chain = ask.chain.clone();
         self.counts.taken += 1;
-        self.tell_kept(now, task, ask, out);
-        let about = ask.offering as usize;
-        let known = self.lengths.get(about).filter(|lengths| lengths.seen > 0);
-        let pace = self.paces.get(about).copied().unwrap_or(0.05);
+        self.estimate_cached(now, task, ask, out);
+        let offering = ask.offering as usize;
+        let known = self.answer_lengths.get(offering).filter(|lengths| lengths.samples > 0);
+        let pace = self.token_pace_s.get(offering).copied().unwrap_or(0.05);
         let order = Order {
             task: task.place,
             offering: Some(ask.offering),
@@ -406,7 +443,7 @@
             shared: ask.shared.as_deref().map(|name| self.names.shared_texts.intern(name)),
             left: ask.left,
             hint: ask.hint.or_else(|| {
-                known.map(|lengths| Duration::from_secs_f64((lengths.mean * pace).clamp(0.0, 1e6)))
+                known.map(|lengths| Duration::from_secs_f64((lengths.mean_tokens * pace).clamp(0.0, 1e6)))
             }),
             prompt_tokens: ask.prompt_tokens,
             shared_tokens: ask.shared_tokens.min(ask.prompt_tokens),
@@ -414,56 +451,62 @@
             again: ask.again,
             ran: ask.ran,
         };
-        self.tell(now, Event::Order(order), out);
+        self.apply_event(now, Event::Order(order), out);
     }
 
-    /// Tells the decisions what hosts hold of a prompt, as far as that is believed.
-    fn tell_kept(&mut self, now: Duration, task: TaskId, ask: &Ask, out: &mut Vec<Output>) {
+    /// Passes the decisions an estimate of what hosts have cached of a prompt, weighted by confidence.
+    fn estimate_cached(&mut self, now: Duration, task: TaskId, ask: &Ask, out: &mut Vec<Output>) {
         match &mut self.prefixes {
             Prefix::Table => return,
-            Prefix::Nothing => self.kept.clear(),
-            Prefix::Content(prefixes) => prefixes.ask(now, &ask.chain, &mut self.kept),
+            Prefix::Nothing => self.cached.clear(),
+            Prefix::Content(prefixes) => prefixes.ask(now, &ask.chain, &mut self.cached),
         }
         let tokens = |kept: &Kept| (f64::from(kept.blocks * BLOCK) * kept.belief) as u32;
-        let told = self.kept.iter().map(|kept| (kept.host, tokens(kept).min(ask.prompt_tokens))).collect();
-        if let Some(life) = self.lives.get_mut(task.place as usize) {
-            life.thought.extend(self.kept.iter().map(|kept| (kept.host, kept.blocks)));
+        let estimates =
+            self.cached.iter().map(|kept| (kept.host, tokens(kept).min(ask.prompt_tokens))).collect();
+        if let Some(entry) = self.entries.get_mut(task.place as usize) {
+            entry.estimated_blocks.extend(self.cached.iter().map(|kept| (kept.host, kept.blocks)));
         }
-        self.tell(now, Event::Kept { kept: told }, out);
+        self.apply_event(now, Event::Kept { kept: estimates }, out);
     }
 
-    /// A prompt was read at a host: what was found kept bears out or contradicts what was thought, and it holds all now.
-    fn note_read(&mut self, now: Duration, task: TaskId, host: u32, end: &End) {
-        let Some(life) = self.lives.get(task.place as usize) else { return };
+    /// A prompt was read at a host. Compares the cached part that the host reported with the estimate; the host has all of
+    /// the prompt cached now.
+    fn record_read(&mut self, now: Duration, task: TaskId, host: u32, end: &End) {
+        let Some(entry) = self.entries.get(task.place as usize) else { return };
         let Prefix::Content(prefixes) = &mut self.prefixes else { return };
-        let thought = life.thought.iter().find(|(by, _)| *by == host).map_or(0, |(_, blocks)| *blocks);
-        // The engine's tokens are not ours: its part of the prompt counts.
-        let part = f64::from(end.kept_tokens) / f64::from(end.prompt_tokens.max(1));
-        let found = (part.min(1.0) * life.chain.len() as f64).round() as u32;
+        let estimated =
+            entry.estimated_blocks.iter().find(|(other, _)| *other == host).map_or(0, |(_, blocks)| *blocks);
+        // The engine's tokens differ from the estimated ones, so the cached share of its prompt is used.
+        let share = f64::from(end.kept_tokens) / f64::from(end.prompt_tokens.max(1));
+        let found = (share.min(1.0) * entry.chain.len() as f64).round() as u32;
         if end.prompt_tokens > 0 {
-            let forgot = prefixes.read(now, host, &life.chain, thought, found);
+            let forgot = prefixes.read(now, host, &entry.chain, estimated, found);
             let tokens = |blocks: u32| u64::from(blocks) * u64::from(BLOCK);
-            self.counts.read_tokens += tokens(life.chain.len() as u32);
-            self.counts.thought_tokens += tokens(thought);
-            self.counts.found_tokens += tokens(found.min(thought));
+            self.counts.read_tokens += tokens(entry.chain.len() as u32);
+            self.counts.thought_tokens += tokens(estimated);
+            self.counts.found_tokens += tokens(found.min(estimated));
             self.counts.forgot += u64::from(forgot);
         }
     }
 
+    /// Handles one input, after expiring the timers that are due by then. Outputs are appended to `out`.
     pub fn on(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.tick(now, out);
         match input {
             Input::Tick => {}
-            Input::Listed { whole, rows } => self.listed(now, whole, rows, out),
+            Input::Listed { whole, rows } => self.update_hosts(now, whole, rows, out),
             Input::Gone { task } => {
-                let Some(life) = self.life(task).filter(|life| !life.ended) else { return };
-                life.ended = true;
+                let Some(entry) = self.entry(task).filter(|entry| !entry.ended) else { return };
+                entry.ended = true;
                 self.counts.client_left += 1;
-                self.call_off(task, None, out);
-                self.tell(now, Event::ClientGone { task: task.place }, out);
+                self.cancel_shots(task, None, out);
+                self.apply_event(now, Event::ClientGone { task: task.place }, out);
+            }
+            Input::Began { task, shot } => self.answer_began(now, task, shot, out),
+            Input::Closed { task, shot, outcome, end } => {
+                self.shot_closed(now, task, shot, outcome, end, out)
             }
-            Input::Began { task, shot } => self.began(now, task, shot, out),
-            Input::Closed { task, shot, outcome, end } => self.closed(now, task, shot, outcome, end, out),
         }
     }
 
@@ -472,31 +515,31 @@
             self.timers.peek().copied().filter(|Reverse((at, _))| *at <= now)
         {
             self.timers.pop();
-            self.tell(at.max(now), Event::Timer { token }, out);
+            self.apply_event(at.max(now), Event::Timer { token }, out);
         }
         while let Some(Reverse((_, place, turn, shot))) =
-            self.overdue.peek().copied().filter(|Reverse((at, ..))| *at <= now)
+            self.overdue_at.peek().copied().filter(|Reverse((at, ..))| *at <= now)
         {
-            self.overdue.pop();
-            self.overdue(now, TaskId { place, turn }, shot, out);
+            self.overdue_at.pop();
+            self.shot_overdue(now, TaskId { place, turn }, shot, out);
         }
     }
 
-    /// A shot that should have ended by itself: its task's answer must not wait for it. What it still tells is
-    /// passed over. Holds against sockets and coroutines that got stuck.
-    fn overdue(&mut self, now: Duration, task: TaskId, shot: u32, out: &mut Vec<Output>) {
-        let Some(life) = self.life(task) else { return };
-        if !life.shots.get(shot as usize).is_some_and(|shot| shot.out && !shot.began) {
+    /// Closes a shot that should have ended by its deadline; what it still reports is ignored. Without this, a stuck socket
+    /// or coroutine would keep the task from being answered.
+    fn shot_overdue(&mut self, now: Duration, task: TaskId, shot: u32, out: &mut Vec<Output>) {
+        let Some(entry) = self.entry(task) else { return };
+        if !entry.shots.get(shot as usize).is_some_and(|shot| shot.active && !shot.answer_began) {
             return;
         }
         self.counts.overdue += 1;
         out.push(Output::Cancel { task, shot });
-        self.closed(now, task, shot, Outcome::TimedOut, End::default(), out);
+        self.shot_closed(now, task, shot, Outcome::TimedOut, End::default(), out);
     }
 
-    fn listed(&mut self, now: Duration, whole: bool, rows: Vec<Row>, out: &mut Vec<Output>) {
+    fn update_hosts(&mut self, now: Duration, whole: bool, rows: Vec<Row>, out: &mut Vec<Output>) {
         if whole {
-            self.starts.iter_mut().for_each(|(_, listed)| *listed = false);
+            self.process_starts.iter_mut().for_each(|(_, listed)| *listed = false);
         }
         let mut listed = Vec::with_capacity(rows.len());
         for row in &rows {
@@ -507,65 +550,64 @@
                 standing: row.standing,
                 ..Listed::default()
             };
-            let Some(line) = self.names.resolve_listed(&row.host, &row.kind, &row.zone, line) else {
-                continue;
-            };
-            self.roles.resize(self.roles.len().max(line.host as usize + 1), Role::Unknown);
-            self.roles[line.host as usize] = line.role;
-            self.note_start(now, &line);
+            let Some(line) = self.names.resolve(&row.host, &row.kind, &row.zone, line) else { continue };
+            self.host_roles.resize(self.host_roles.len().max(line.host as usize + 1), Role::Unknown);
+            self.host_roles[line.host as usize] = line.role;
+            self.update_process_start(now, &line);
             listed.push(line);
         }
         if whole {
             self.names.hosts.retain_listed(&listed);
         }
-        self.tell(now, Event::Hosts { whole, listed }, out);
+        self.apply_event(now, Event::Hosts { whole, listed }, out);
     }
 
-    /// A host's process that began anew, or may have as the host was gone, holds nothing.
-    fn note_start(&mut self, now: Duration, line: &Listed) {
-        let at = line.host as usize;
-        self.starts.resize(self.starts.len().max(at + 1), (Duration::ZERO, false));
-        let (start, was) = self.starts[at];
+    /// Clears the cache index of a host whose process has restarted, or may have restarted while the host was gone.
+    fn update_process_start(&mut self, now: Duration, line: &Listed) {
+        let host = line.host as usize;
+        self.process_starts.resize(self.process_starts.len().max(host + 1), (Duration::ZERO, false));
+        let (start, was_listed) = self.process_starts[host];
         let started = line.up_for.map_or(Duration::ZERO, |up| now.saturating_sub(up));
-        // A quarter second: what clocks may differ by between two tellings of one start. Too little clears in vain.
-        let anew = started > start + Duration::from_millis(250);
-        let runs = line.standing != Standing::Gone;
-        self.starts[at] = (if anew { started } else { start }, runs);
+        // Clocks may differ by up to 250 ms between two reports of one start. With a smaller tolerance, the index would be
+        // cleared for no reason.
+        let restarted = started > start + Duration::from_millis(250);
+        let present = line.standing != Standing::Gone;
+        self.process_starts[host] = (if restarted { started } else { start }, present);
         let Prefix::Content(prefixes) = &mut self.prefixes else { return };
-        let most = line.memory_tokens.map(|tokens| (tokens / f64::from(BLOCK)) as u32);
-        prefixes.listed(line.host, most, anew || !runs || !was);
+        let max_blocks = line.memory_tokens.map(|tokens| (tokens / f64::from(BLOCK)) as u32);
+        prefixes.listed(line.host, max_blocks, restarted || !present || !was_listed);
     }
 
-    /// Shots that are out and have not begun are called off, all but one.
-    fn call_off(&mut self, task: TaskId, but: Option<u32>, out: &mut Vec<Output>) {
-        let Some(life) = self.life(task) else { return };
-        for (i, shot) in (0..).zip(&life.shots) {
-            if shot.out && Some(i) != but {
+    /// Cancels all shots in progress except one.
+    fn cancel_shots(&mut self, task: TaskId, except: Option<u32>, out: &mut Vec<Output>) {
+        let Some(entry) = self.entry(task) else { return };
+        for (i, shot) in (0..).zip(&entry.shots) {
+            if shot.active && Some(i) != except {
                 out.push(Output::Cancel { task, shot: i });
             }
         }
     }
 
-    fn began(&mut self, now: Duration, task: TaskId, shot: u32, out: &mut Vec<Output>) {
-        let Some(life) = self.life(task) else { return };
-        let ended = life.ended;
-        let Some(about) = life.shots.get_mut(shot as usize).filter(|shot| shot.out) else { return };
-        about.began = true;
-        if ended || life.owner.is_some_and(|owner| owner != shot) {
+    fn answer_began(&mut self, now: Duration, task: TaskId, shot: u32, out: &mut Vec<Output>) {
+        let Some(entry) = self.entry(task) else { return };
+        let ended = entry.ended;
+        let Some(started) = entry.shots.get_mut(shot as usize).filter(|shot| shot.active) else { return };
+        started.answer_began = true;
+        if ended || entry.answering_shot.is_some_and(|answering| answering != shot) {
             out.push(Output::Cancel { task, shot });
             return;
         }
-        life.owner = Some(shot);
-        let ran = Ran { host: life.shots[shot as usize].host, sent: life.shots[shot as usize].sent };
-        out.extend(life.may_have_run(ran).then_some(Output::Ran { task, ran }));
-        // The writer has fetched it.
-        life.held = None;
-        life.released_under_attempt = None;
-        self.call_off(task, Some(shot), out);
-        self.tell(now, Event::Started { task: task.place, shot }, out);
+        entry.answering_shot = Some(shot);
+        let ran = Ran { host: entry.shots[shot as usize].host, sent: entry.shots[shot as usize].sent };
+        out.extend(entry.note_possible_run(ran).then_some(Output::Ran { task, ran }));
+        // The writer has fetched the state.
+        entry.held = None;
+        entry.released_under_attempt = None;
+        self.cancel_shots(task, Some(shot), out);
+        self.apply_event(now, Event::Started { task: task.place, shot }, out);
     }
 
-    fn closed(
+    fn shot_closed(
         &mut self,
         now: Duration,
         task: TaskId,
@@ -576,52 +618,53 @@
     ) {
         let state = end.state.take();
         let held = state.map(|state| Held { host: end.host, state, kept_tokens: end.kept_tokens });
-        let Some(life) = self.life(task) else {
-            // Its shot was overdue, its place may have a new owner: nobody else knows of the state.
+        let Some(entry) = self.entry(task) else {
+            // The shot was overdue and its slot may have been reused, so the state has to be released here.
             let (sure, reason) = (outcome == Outcome::Read, ReleaseReason::Ended);
             return out.extend(held.map(|held| Output::Release { held, sure, reason }));
         };
-        let (ended, owner, offering) = (life.ended, life.owner, life.offering as usize);
-        let Some(about) = life.shots.get_mut(shot as usize).filter(|shot| shot.out) else {
-            return life.leaves(held);
+        let (ended, answering, offering) = (entry.ended, entry.answering_shot, entry.offering as usize);
+        let Some(closed_shot) = entry.shots.get_mut(shot as usize).filter(|shot| shot.active) else {
+            return entry.add_unconfirmed(held);
         };
-        about.out = false;
-        let (host, reads) = (about.host, about.reads);
-        if !about.reads && !outcome.never_ran() {
-            let ran = Ran { host, sent: about.sent };
-            out.extend(life.may_have_run(ran).then_some(Output::Ran { task, ran }));
+        closed_shot.active = false;
+        let (host, is_read) = (closed_shot.host, closed_shot.is_read);
+        if !closed_shot.is_read && !outcome.never_ran() {
+            let ran = Ran { host, sent: closed_shot.sent };
+            out.extend(entry.note_possible_run(ran).then_some(Output::Ran { task, ran }));
         }
-        let whole = outcome == Outcome::Delivered && life.whole == Some(shot);
-        if (reads && outcome == Outcome::Read) || whole {
-            self.note_read(now, task, host, &end);
+        let combined = outcome == Outcome::Delivered && entry.last_combined_shot == Some(shot);
+        if (is_read && outcome == Outcome::Read) || combined {
+            self.record_read(now, task, host, &end);
         }
-        let Some(life) = self.life(task) else { return };
-        let released = life.released_under_attempt.take();
+        let Some(entry) = self.entry(task) else { return };
+        let released = entry.released_under_attempt.take();
         if !matches!(outcome, Outcome::Delivered | Outcome::Spoilt | Outcome::NoState) {
-            life.leaves(released);
+            entry.add_unconfirmed(released);
         }
         match outcome {
-            Outcome::Delivered | Outcome::Spoilt => life.held = None,
-            // Its writer found none: it may be where only that writer can't reach it. Holds against cut off readers.
+            Outcome::Delivered | Outcome::Spoilt => entry.held = None,
+            // The writer found no state, but the reader may still hold it. Without this, a state would stay at a reader that
+            // only this writer cannot reach.
             Outcome::NoState => {
-                let held = life.held.take();
-                life.leaves(held);
+                let held = entry.held.take();
+                entry.add_unconfirmed(held);
             }
             _ => {}
         }
         if outcome == Outcome::Read {
-            life.held = held;
+            entry.held = held;
         } else {
-            life.leaves(held);
+            entry.add_unconfirmed(held);
         }
-        // The answer that the client was given ends with its shot, whole or broken.
-        let ends = owner == Some(shot) && !ended;
+        // The answer that the client receives ends with its shot, complete or not.
+        let ends = answering == Some(shot) && !ended;
         if ends {
-            life.ended = true;
+            entry.ended = true;
         }
         if ends && outcome == Outcome::Delivered {
             self.counts.delivered += 1;
-            if let Some(lengths) = self.lengths.get_mut(offering) {
+            if let Some(lengths) = self.answer_lengths.get_mut(offering) {
                 lengths.add(f64::from(end.answer_tokens));
             }
         } else if ends {
@@ -635,71 +678,73 @@
             kept_tokens: end.kept_tokens,
             load: end.load,
         };
-        self.tell(now, Event::Closed(closed), out);
+        self.apply_event(now, Event::Closed(closed), out);
     }
 
-    fn tell(&mut self, now: Duration, event: Event, out: &mut Vec<Output>) {
+    /// Passes an event to the decisions, records it, and carries out the actions that it calls for.
+    fn apply_event(&mut self, now: Duration, event: Event, out: &mut Vec<Output>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.rules.on(now, &event, &mut actions);
         if let Some(recorder) = &mut self.recorder {
-            recorder.note(now, &event, &actions);
+            recorder.event(now, &event, &actions);
         }
         for action in actions.drain(..) {
-            self.carry(now, action, out);
+            self.apply_action(now, action, out);
         }
         self.actions = actions;
     }
 
-    /// One action, carried to its task; what no longer fits its task's life is left out.
-    fn carry(&mut self, now: Duration, action: Action, out: &mut Vec<Output>) {
-        let id = |lives: &[Life], place: u32| {
-            let turn = lives.get(place as usize).map_or(0, |life| life.turn);
+    /// Carries out one action. An action that no longer applies to its task is ignored.
+    fn apply_action(&mut self, now: Duration, action: Action, out: &mut Vec<Output>) {
+        let id = |entries: &[TaskEntry], place: u32| {
+            let turn = entries.get(place as usize).map_or(0, |entry| entry.generation);
             TaskId { place, turn }
         };
         match action {
             Action::Send { task: place, host, until, begin_by } => {
-                let task = id(&self.lives, place);
-                let role = self.roles.get(host as usize).copied().unwrap_or_default();
-                let Some(life) = self.life(task) else { return };
-                let shot = life.shots.len() as u32;
-                let held = life.held.clone();
+                let task = id(&self.entries, place);
+                let role = self.host_roles.get(host as usize).copied().unwrap_or_default();
+                let Some(entry) = self.entry(task) else { return };
+                let shot = entry.shots.len() as u32;
+                let held = entry.held.clone();
                 let errand = match (role, &held) {
                     (Role::Reader, _) => Errand::Read,
                     (_, Some(_)) => Errand::Write,
                     (_, None) => Errand::Whole,
                 };
-                let reads = errand == Errand::Read;
-                life.shots.push(Shot { host, sent: now, reads, out: true, began: false });
-                life.whole = if errand == Errand::Whole { Some(shot) } else { life.whole };
+                let is_read = errand == Errand::Read;
+                entry.shots.push(Shot { host, sent: now, is_read, active: true, answer_began: false });
+                entry.last_combined_shot =
+                    if errand == Errand::Whole { Some(shot) } else { entry.last_combined_shot };
                 self.counts.shots += 1;
-                self.overdue.push(Reverse((until + OVERDUE, place, task.turn, shot)));
+                self.overdue_at.push(Reverse((until + OVERDUE_GRACE, place, task.turn, shot)));
                 let until = until.max(now);
                 out.push(Output::Send { task, shot, host, errand, until, begin_by, held });
             }
-            Action::Cancel { task, shot } => out.push(Output::Cancel { task: id(&self.lives, task), shot }),
+            Action::Cancel { task, shot } => out.push(Output::Cancel { task: id(&self.entries, task), shot }),
             Action::Release { task, reason } => {
-                let task = id(&self.lives, task);
-                let Some(life) = self.life(task) else { return };
-                // What a read may have left is told of again with the end of the task, as it may come yet.
-                let held = life.held.take();
+                let task = id(&self.entries, task);
+                let Some(entry) = self.entry(task) else { return };
+                // Unconfirmed states are released again at the end of the task, as they may still be created.
+                let held = entry.held.take();
                 if reason == ReleaseReason::Unanswered {
-                    life.released_under_attempt = held.clone();
+                    entry.released_under_attempt = held.clone();
                 }
-                let left = if reason == ReleaseReason::Unused { &[] } else { &life.left[..] };
-                let known = |left: &&Held| held.as_ref().is_none_or(|held| held.state != left.state);
-                let all = left.iter().filter(known).cloned().chain(held.clone());
+                let unconfirmed = if reason == ReleaseReason::Unused { &[] } else { &entry.unconfirmed[..] };
+                let not_held = |other: &&Held| held.as_ref().is_none_or(|held| held.state != other.state);
+                let all = unconfirmed.iter().filter(not_held).cloned().chain(held.clone());
                 out.extend(all.map(|held| Output::Release { held, sure: true, reason }));
             }
             Action::Bounce { task, come_back } => {
-                let task = id(&self.lives, task);
-                if self.end(task) {
+                let task = id(&self.entries, task);
+                if self.set_ended(task) {
                     self.counts.bounced += 1;
                     out.push(Output::Bounce { task, come_back });
                 }
             }
             Action::BreakOff { task } => {
-                let task = id(&self.lives, task);
-                if self.end(task) {
+                let task = id(&self.entries, task);
+                if self.set_ended(task) {
                     self.counts.broken_off += 1;
                     out.push(Output::BreakOff { task });
                 }
@@ -707,29 +752,33 @@
             Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
             Action::Note { host, what } => out.push(Output::Note { host, what }),
             Action::Forget { task: place } => {
-                let task = id(&self.lives, place);
-                if let Some(life) = self.life(task) {
-                    life.live = false;
-                    let left = std::mem::take(&mut life.left);
+                let task = id(&self.entries, place);
+                if let Some(entry) = self.entry(task) {
+                    entry.live = false;
+                    let unconfirmed = std::mem::take(&mut entry.unconfirmed);
                     self.in_hand -= 1;
-                    self.forgotten.push(place);
+                    self.ended_slots.push(place);
                     let reason = ReleaseReason::Ended;
-                    out.extend(left.into_iter().map(|held| Output::Release { held, sure: false, reason }));
+                    out.extend(unconfirmed.into_iter().map(|held| Output::Release {
+                        held,
+                        sure: false,
+                        reason,
+                    }));
                     out.push(Output::Forget { task });
                 }
             }
-            // The list is pushed or read from a file; a stream is moved by no deployment yet.
+            // Lists are pushed or read from a file, and no deployment moves streams yet.
             Action::AskList | Action::Move { .. } => {}
         }
     }
 
-    /// Whether the task had no final answer until now.
-    fn end(&mut self, task: TaskId) -> bool {
-        self.life(task).is_some_and(|life| !std::mem::replace(&mut life.ended, true))
+    /// Marks the task as ended. Returns whether it had not ended before.
+    fn set_ended(&mut self, task: TaskId) -> bool {
+        self.entry(task).is_some_and(|entry| !std::mem::replace(&mut entry.ended, true))
     }
 }
 
-/// Terms as a map of JSON values, for records.
+/// The configuration as a JSON object, for records.
 fn terms_as_json(terms: &Terms) -> serde_json::Value {
     let value = |term: &Term| match term {
         Term::Flag(flag) => serde_json::json!(flag),
@@ -757,9 +806,9 @@
 mod tests {
     use super::*;
 
-    /// A second final answer, whoever asks for it, is not put out: each way to end a task before each other.
+    /// A task gets one final answer at most, for each order of the two ways to end it.
     #[test]
-    fn one_final_answer_leaves_the_core() {
+    fn a_task_gets_one_final_answer() {
         let bounce = |task| Action::Bounce { task, come_back: None };
         let break_off = |task| Action::BreakOff { task };
         type Ends = fn(u32) -> Action;
@@ -768,19 +817,19 @@
             for second in ends {
                 let (mut core, mut out) = (Core::new(1, Terms::default()), Vec::new());
                 let task = core.enter();
-                core.carry(Duration::ZERO, first(task.place), &mut out);
+                core.apply_action(Duration::ZERO, first(task.place), &mut out);
                 assert_eq!(out.len(), 1, "{out:?}");
-                core.carry(Duration::ZERO, second(task.place), &mut out);
+                core.apply_action(Duration::ZERO, second(task.place), &mut out);
                 assert_eq!(out.len(), 1, "{out:?}");
                 assert_eq!(core.counts.bounced + core.counts.broken_off, 1);
             }
         }
-        // Nor after its client left or its answer was delivered.
+        // No final answer after the client has disconnected.
         for end in ends {
             let (mut core, mut out) = (Core::new(1, Terms::default()), Vec::new());
             let task = core.enter();
             core.on(Duration::ZERO, Input::Gone { task }, &mut out);
-            core.carry(Duration::ZERO, end(task.place), &mut out);
+            core.apply_action(Duration::ZERO, end(task.place), &mut out);
             assert!(out.is_empty(), "{out:?}");
         }
     }
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of events and actions, one JSON line each, that replay to the letter.
+//! Records of events and their actions, one JSON line for each event, and their exact replay.
 
 use crate::{terms_as_json, terms_from_json};
 use serde_json::{Value, json};
@@ -7,40 +7,42 @@
 use tulipstall::Rules;
 use tulipstall::interface::{Action, Event, Terms};
 
-/// Is told of every event with the actions that followed, in order.
+/// Receives every event with the actions that it caused, in order.
 pub trait Recorder: Send {
+    /// Called once, before the first event.
     fn start(&mut self, seed: u64, terms: &Terms);
-    fn note(&mut self, now: Duration, event: &Event, actions: &[Action]);
+    fn event(&mut self, now: Duration, event: &Event, actions: &[Action]);
 }
 
-/// The form of the lines that this version writes.
-const VERSION: u64 = 1;
+/// Version of the record format.
+const FORMAT_VERSION: u64 = 1;
 
-/// Turns events into lines and hands them on; what takes them must not block.
+/// A recorder that formats records as JSON lines and passes them to a function, which must not block.
 pub struct Lines<W: FnMut(String) + Send>(pub W);
 
 impl<W: FnMut(String) + Send> Recorder for Lines<W> {
     fn start(&mut self, seed: u64, terms: &Terms) {
-        (self.0)(json!({"record": VERSION, "seed": seed, "terms": terms_as_json(terms)}).to_string());
+        (self.0)(json!({"record": FORMAT_VERSION, "seed": seed, "terms": terms_as_json(terms)}).to_string());
     }
 
-    fn note(&mut self, now: Duration, event: &Event, actions: &[Action]) {
+    fn event(&mut self, now: Duration, event: &Event, actions: &[Action]) {
         let now = now.as_nanos() as u64;
         (self.0)(json!({"now": now, "event": event, "actions": actions}).to_string());
     }
 }
 
+/// Result of a replay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replay {
     pub events: u64,
     pub actions: u64,
-    /// Line, what was recorded, what came now; the first ones.
+    /// The first differences: line number, recorded actions, actions of the replay.
     pub differences: Vec<(u64, String, String)>,
-    /// The last line was cut short, as by a kill.
+    /// The last line is incomplete, as after the dispatcher was killed.
     pub cut_short: bool,
 }
 
-/// Plays a record through new decisions and compares every action to the letter.
+/// Feeds the events of a record to new decision logic and compares every action with the recorded one.
 pub fn replay(record: impl BufRead) -> Result<Replay, String> {
     let mut replay = Replay::default();
     let mut rules: Option<Rules> = None;
@@ -57,8 +59,8 @@
             Err(error) => return Err(format!("line {number}: {error}")),
         };
         let Some(rules) = &mut rules else {
-            if value["record"].as_u64() != Some(VERSION) {
-                return Err(format!("line 1: no record of version {VERSION}"));
+            if value["record"].as_u64() != Some(FORMAT_VERSION) {
+                return Err(format!("line 1: no record of version {FORMAT_VERSION}"));
             }
             let seed = value["seed"].as_u64().ok_or("line 1: no seed")?;
             let mut terms = terms_from_json(&value["terms"]).ok_or("line 1: no terms")?;
@@ -73,12 +75,12 @@
         rules.on(Duration::from_nanos(now), &event, &mut out);
         replay.events += 1;
         replay.actions += out.len() as u64;
-        // Through text once, so that both have been printed and read the same number of times.
+        // Formatted and parsed once, like the recorded actions, so that both have the same representation of numbers.
         let text = json!(out).to_string();
-        let again: Value = serde_json::from_str(&text).map_err(|error| error.to_string())?;
-        // A thousand differences tell no more than ten.
-        if again != value["actions"] && replay.differences.len() < 10 {
-            replay.differences.push((number, value["actions"].to_string(), again.to_string()));
+        let replayed: Value = serde_json::from_str(&text).map_err(|error| error.to_string())?;
+        // The first ten differences are enough to find the cause.
+        if replayed != value["actions"] && replay.differences.len() < 10 {
+            replay.differences.push((number, value["actions"].to_string(), replayed.to_string()));
         }
     }
     if rules.is_none() { Err("an empty record".to_owned()) } else { Ok(replay) }
--- a/src/door.rs
+++ b/src/door.rs
@@ -239,7 +239,7 @@
 
     /// Builds a host list entry from the names of the host, its kind and its zone; `line` has the fields that do not
     /// depend on names. Absent once a table of names is full.
-    pub fn resolve_listed(&mut self, host: &str, kind: &str, zone: &str, line: Listed) -> Option<Listed> {
+    pub fn resolve(&mut self, host: &str, kind: &str, zone: &str, line: Listed) -> Option<Listed> {
         let (index, zone) = (self.hosts.intern(host)?, self.zones.enter(zone)?);
         if line.standing == Standing::Gone {
             self.hosts.set_departed(index);
@@ -280,10 +280,8 @@
             let mut departed: Vec<u32> = Vec::new();
             for i in 0..10_000 {
                 let name = format!("h{i}");
-                let host = registry
-                    .resolve_listed(&name, "k", "z", line(Standing::Running))
-                    .expect("a free slot")
-                    .host;
+                let host =
+                    registry.resolve(&name, "k", "z", line(Standing::Running)).expect("a free slot").host;
                 assert!(
                     present.iter().all(|(_, other)| *other != host),
                     "{i}: the slot of a present host was reused"
@@ -303,7 +301,7 @@
                         registry.hosts.retain_listed(&listed);
                     } else {
                         assert_eq!(
-                            registry.resolve_listed(&name, "k", "z", line(Standing::Gone)).map(|l| l.host),
+                            registry.resolve(&name, "k", "z", line(Standing::Gone)).map(|l| l.host),
                             Some(host)
                         );
                     }
@@ -311,7 +309,7 @@
                     // One in seven returns before its slot can be reused, and departs again.
                     if i % 7 == 0 {
                         assert_eq!(
-                            registry.resolve_listed(&name, "k", "z", line(Standing::Running)).map(|l| l.host),
+                            registry.resolve(&name, "k", "z", line(Standing::Running)).map(|l| l.host),
                             Some(host)
                         );
                         registry.hosts.set_departed(host);
