--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,105 +1,110 @@
-//! Parsing and printing of the wire's text lines, by position.
+//! Parsing of the simulator protocol's text lines, whose fields are identified by position.
 
 use serde_json::Value;
 use std::time::Duration;
 use tulipstall::interface::{Load, Outcome, Standing};
 
-/// What is wrong with a line, in plain words.
-pub type Fault = String;
+/// A message that says what is wrong with the input.
+pub type Error = String;
 
-/// The parts of one line; `-` marks an absent one.
-pub struct Parts<'a> {
+/// Reads the fields of one line in order. Fields are separated by spaces; `-` stands for an absent one.
+pub struct Fields<'a> {
     line: &'a str,
     rest: &'a str,
     ended: bool,
 }
 
-impl<'a> Parts<'a> {
-    pub fn of(line: &'a str) -> Self {
-        Parts { line, rest: line, ended: false }
+impl<'a> Fields<'a> {
+    pub fn new(line: &'a str) -> Self {
+        Fields { line, rest: line, ended: false }
     }
 
-    /// The next part; absent where the line is over or says `-`.
+    /// The next field; absent if it is `-` or the line has ended.
     pub fn next(&mut self) -> Option<&'a str> {
         if self.ended {
             return None;
         }
-        let part = match self.rest.split_once(' ') {
-            Some((part, rest)) => {
+        let field = match self.rest.split_once(' ') {
+            Some((field, rest)) => {
                 self.rest = rest;
-                part
+                field
             }
             None => {
                 self.ended = true;
                 self.rest
             }
         };
-        (part != "-" && !part.is_empty()).then_some(part)
+        (field != "-" && !field.is_empty()).then_some(field)
     }
 
-    /// Everything that is left of the line.
+    /// The remainder of the line.
     pub fn rest(&mut self) -> &'a str {
         self.ended = true;
         self.rest
     }
 
-    pub fn need(&mut self, what: &str) -> Result<&'a str, Fault> {
+    /// The next field, which has to be present. `what` names it in the error message.
+    pub fn require(&mut self, what: &str) -> Result<&'a str, Error> {
         self.next().ok_or_else(|| format!("{what} is missing in: {}", self.line))
     }
 
-    pub fn whole(&mut self, what: &str) -> Result<u64, Fault> {
-        let part = self.need(what)?;
-        part.parse().map_err(|_| format!("{what} is no whole number in: {}", self.line))
+    pub fn integer(&mut self, what: &str) -> Result<u64, Error> {
+        let field = self.require(what)?;
+        field.parse().map_err(|_| format!("{what} is not an integer in: {}", self.line))
     }
 
-    pub fn whole_or(&mut self, what: &str, absent: u64) -> Result<u64, Fault> {
+    pub fn integer_or(&mut self, what: &str, default: u64) -> Result<u64, Error> {
         match self.next() {
-            None => Ok(absent),
-            Some(part) => part.parse().map_err(|_| format!("{what} is no whole number in: {}", self.line)),
+            None => Ok(default),
+            Some(field) => field.parse().map_err(|_| format!("{what} is not an integer in: {}", self.line)),
         }
     }
 
-    /// A count that may be printed with a fraction; anything below 0 counts as 0.
-    pub fn number_or(&mut self, what: &str, absent: f64) -> Result<f64, Fault> {
+    /// A finite number, which may have a fraction. Callers that convert it to an unsigned count get 0 for negative numbers.
+    pub fn number_or(&mut self, what: &str, default: f64) -> Result<f64, Error> {
         match self.next() {
-            None => Ok(absent),
-            Some(part) => match part.parse::<f64>() {
+            None => Ok(default),
+            Some(field) => match field.parse::<f64>() {
                 Ok(number) if number.is_finite() => Ok(number),
-                _ => Err(format!("{what} is no number in: {}", self.line)),
+                _ => Err(format!("{what} is not a finite number in: {}", self.line)),
             },
         }
     }
 
-    pub fn span_or_none(&mut self, what: &str) -> Result<Option<Duration>, Fault> {
+    /// A duration in microseconds; negative values count as 0.
+    pub fn duration_or_none(&mut self, what: &str) -> Result<Option<Duration>, Error> {
         match self.next() {
             None => Ok(None),
-            Some(part) => match part.parse::<i64>() {
+            Some(field) => match field.parse::<i64>() {
                 Ok(us) => Ok(Some(Duration::from_micros(us.max(0) as u64))),
-                Err(_) => Err(format!("{what} is no time in: {}", self.line)),
+                Err(_) => Err(format!("{what} is not an integer number of microseconds in: {}", self.line)),
             },
         }
     }
 
-    pub fn load(&mut self) -> Result<Option<Load>, Fault> {
-        let Some(part) = self.next() else { return Ok(None) };
+    /// A load report: numbers separated by commas.
+    pub fn load(&mut self) -> Result<Option<Load>, Error> {
+        let Some(field) = self.next() else { return Ok(None) };
         let mut load = Load::default();
-        for value in part.split(',').take(load.values.len()) {
+        for value in field.split(',').take(load.values.len()) {
             load.values[load.count] = match value.parse::<f64>() {
                 Ok(number) if number.is_finite() => number,
                 _ if value == "-" || value.is_empty() => 0.0,
-                _ => return Err(format!("a load value is no number in: {}", self.line)),
+                _ => return Err(format!("a load value is not a finite number in: {}", self.line)),
             };
             load.count += 1;
         }
         Ok(Some(load))
     }
 
+    /// The outcome of a shot and its note, a number whose meaning depends on the outcome. `read_note` reads the note, which
+    /// follows the outcome.
     pub fn outcome(
         &mut self,
-        note: impl FnOnce(&mut Self) -> Result<u64, Fault>,
-    ) -> Result<(Outcome, u64), Fault> {
-        let code = self.whole("the outcome")?;
-        let note = note(self)?;
+        read_note: impl FnOnce(&mut Self) -> Result<u64, Error>,
+    ) -> Result<(Outcome, u64), Error> {
+        let code = self.integer("the outcome")?;
+        let note = read_note(self)?;
         let outcome = match code {
             200 => Outcome::Delivered,
             102 => Outcome::Read,
@@ -111,24 +116,25 @@
             408 => Outcome::TimedOut,
             444 => Outcome::Cancelled,
             409 => Outcome::Moot,
-            _ => return Err(format!("an outcome that the wire does not have in: {}", self.line)),
+            _ => return Err(format!("unknown outcome in: {}", self.line)),
         };
         Ok((outcome, note))
     }
 
-    pub fn standing(&mut self) -> Result<Standing, Fault> {
-        match self.need("the standing")? {
+    pub fn standing(&mut self) -> Result<Standing, Error> {
+        match self.require("the host status")? {
             "Running" => Ok(Standing::Running),
             "Stopping" => Ok(Standing::Draining),
             "Deleted" => Ok(Standing::Gone),
-            _ => Err(format!("a standing that the wire does not have in: {}", self.line)),
+            _ => Err(format!("unknown host status in: {}", self.line)),
         }
     }
 
-    pub fn object(&mut self) -> Result<Value, Fault> {
+    /// The remainder of the line as a JSON object.
+    pub fn object(&mut self) -> Result<Value, Error> {
         match serde_json::from_str(self.rest()) {
             Ok(value @ Value::Object(_)) => Ok(value),
-            _ => Err("the start values are no JSON object".to_owned()),
+            _ => Err("the configuration is not a JSON object".to_owned()),
         }
     }
 }
