--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,6 @@
-//! tulipstall: pairs prompt readers with answer writers by pending tokens.
+//! The decision logic of the tulipstall dispatcher, a router in front of model servers. For each request it picks a reader,
+//! which computes the state (KV cache) of the prompt, and a writer, which fetches that state and streams the answer. Servers
+//! are compared by their pending tokens.
 
 pub mod door;
 pub mod interface;
