--- a/src/release.rs
+++ b/src/release.rs
@@ -11,19 +11,19 @@
 
 /// The part of the stated time after which a release begins while no attempt is out. The rest is for a late timer, for
 /// servers that do not answer the release, and for a connection that is still coming up.
-const BEGINS_AT: f64 = 0.7;
+const RELEASE_AT_SHARE: f64 = 0.7;
 
 /// The same while an attempt is out that was not answered: it may be answered yet, so that the release begins as late as a
 /// dispatcher that is held up for 150 ms can still have it done inside the operators' slack.
-const BEGINS_UNANSWERED_AT: f64 = 0.85;
+const RELEASE_UNANSWERED_AT_SHARE: f64 = 0.85;
 
 /// The part of the stated time after which a writer that is silent while its peers speak is given up for another: while
 /// the state is still there for that one, and with time for its answer.
-const OTHER_WRITER_AT: f64 = 0.65;
+const SWITCH_WRITER_AT_SHARE: f64 = 0.65;
 
 /// How long after an attempt was last known to be at a server a release begins.
-pub(crate) fn begins_after(stated: Duration) -> Duration {
-    stated.mul_f64(BEGINS_AT)
+pub(crate) fn release_after(hold_limit: Duration) -> Duration {
+    hold_limit.mul_f64(RELEASE_AT_SHARE)
 }
 
 /// What servers may hold for one request.
@@ -32,14 +32,14 @@
     /// The reader whose state the next writer fetches.
     reader: Option<u32>,
     /// Whether a state may be left anywhere else: a read that ended without an answer, or one that a writer did not find.
-    left: bool,
+    may_be_left: bool,
     /// Whether a state that was released may be held all the same.
-    kept: bool,
+    may_persist: bool,
     /// Whether it was released while an attempt was out. If that has arrived and waits for the state, servers may keep the
     /// state for it, and so hold it again once the attempt has ended without it.
     released_under_attempt: bool,
     /// When an attempt was last known to be at a server.
-    since: Duration,
+    last_known_at: Duration,
 }
 
 impl Held {
@@ -49,52 +49,56 @@
     }
 
     /// An attempt at `server` ended with `outcome`; `reads` if it was to leave a state there.
-    pub(crate) fn ended(&mut self, server: u32, reads: bool, outcome: Outcome, now: Duration) {
-        if outcome.is_answered() || !self.is_any() {
-            self.since = now;
+    pub(crate) fn record_end(&mut self, server: u32, reads: bool, outcome: Outcome, now: Duration) {
+        if outcome.is_answered() || !self.may_hold_any() {
+            self.last_known_at = now;
         }
         let is_fetched = matches!(outcome, Outcome::Delivered | Outcome::Spoilt | Outcome::NoState);
-        self.kept |= std::mem::take(&mut self.released_under_attempt) && !is_fetched;
+        self.may_persist |= std::mem::take(&mut self.released_under_attempt) && !is_fetched;
         match outcome {
             Outcome::Read => self.reader = Some(server),
-            Outcome::NoState => self.left |= self.reader.take().is_some(),
+            Outcome::NoState => self.may_be_left |= self.reader.take().is_some(),
             Outcome::Delivered | Outcome::Spoilt => self.reader = None,
             _ => {}
         }
-        self.left |= reads && !outcome.never_ran();
+        self.may_be_left |= reads && !outcome.never_ran();
     }
 
     /// A writer's answer has begun, so that it has fetched the state: from which reader.
-    pub(crate) fn fetched(&mut self) -> Option<u32> {
+    pub(crate) fn record_fetched(&mut self) -> Option<u32> {
         self.released_under_attempt = false;
         self.reader.take()
     }
 
     /// All of it is released from now on, while an attempt is out or not; whether there may have been any.
-    pub(crate) fn release(&mut self, any_out: bool) -> bool {
-        let any = self.is_any();
-        (self.reader, self.left, self.kept) = (None, false, false);
-        self.released_under_attempt |= any && any_out;
+    pub(crate) fn release(&mut self, any_in_flight: bool) -> bool {
+        let any = self.may_hold_any();
+        (self.reader, self.may_be_left, self.may_persist) = (None, false, false);
+        self.released_under_attempt |= any && any_in_flight;
         any
     }
 
     /// When the release of it has to begin, by whether an attempt is out; absent while nothing is held.
-    pub(crate) fn release_at(&self, stated: Duration, any_out: bool) -> Option<Duration> {
-        let after = if any_out { stated.mul_f64(BEGINS_UNANSWERED_AT) } else { begins_after(stated) };
-        self.is_any().then(|| self.since + after)
+    pub(crate) fn release_at(&self, hold_limit: Duration, any_in_flight: bool) -> Option<Duration> {
+        let after = if any_in_flight {
+            hold_limit.mul_f64(RELEASE_UNANSWERED_AT_SHARE)
+        } else {
+            release_after(hold_limit)
+        };
+        self.may_hold_any().then(|| self.last_known_at + after)
     }
 
     /// When a silent writer is given up for another one that fetches the state; absent without such a state.
-    pub(crate) fn other_writer_at(&self, stated: Duration) -> Option<Duration> {
-        self.reader.map(|_| self.since + stated.mul_f64(OTHER_WRITER_AT))
+    pub(crate) fn switch_writer_at(&self, hold_limit: Duration) -> Option<Duration> {
+        self.reader.map(|_| self.last_known_at + hold_limit.mul_f64(SWITCH_WRITER_AT_SHARE))
     }
 
     /// Whether a state is known to have been made that nobody is known to have fetched: it is released with the request.
-    pub(crate) fn is_known(&self) -> bool {
-        self.reader.is_some() || self.kept
+    pub(crate) fn has_known_state(&self) -> bool {
+        self.reader.is_some() || self.may_persist
     }
 
-    fn is_any(&self) -> bool {
-        self.is_known() || self.left
+    fn may_hold_any(&self) -> bool {
+        self.has_known_state() || self.may_be_left
     }
 }
