--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,15 @@
-//! All decisions of tulipstall. `Rules::new` takes a seed and the terms told at start; `Rules::on` takes one
-//! event at a time and appends the actions that it calls for, plain data of `src/interface.rs`. Nothing reads
-//! a clock; equal events give equal actions. An event changes what a task wants (`plan`); `settle` alone
-//! compares that with what is out, held and timed, and emits the difference.
+//! All decisions of the dispatcher: which host gets which shot, when a shot is cancelled or a held state
+//! released, and when a task is rejected or aborted.
+//!
+//! `Rules::new` takes a seed and the terms given at start. `Rules::on` takes one event at a time and appends
+//! the actions that it calls for; both are plain data of `src/interface.rs`. Nothing here reads a clock, and
+//! equal events give equal actions. An event updates what a task needs next (`plan`); only `reconcile`
+//! compares that with its shots in flight, held state and timer, and emits the difference.
+//!
+//! Terms used below: the pending tokens of a host are its load as one dispatcher counts it. Dispatchers do
+//! not communicate, so each sees only its own part. The home of a session or a shared text is a host picked
+//! by rendezvous hashing, so that all dispatchers send it to the same host. A cold host is one that has just
+//! started and is ramped up by a send budget. `t` is the index of a task, `h` that of a host.
 
 use crate::interface::{
     Action, Closed, Event, Key, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Terms,
@@ -14,23 +22,24 @@
 use crate::state::{best_ranked, cached_tokens_at, count_task, find_cached, record_cached, top_ranked};
 use std::time::Duration;
 
-/// A step's own cost beside the tokens that it reads: under the smallest chunk that engines read in.
+/// Fixed cost of a read beside its prompt, in tokens: less than the smallest chunk that engines prefill.
 const READ_OVERHEAD_TOKENS: f64 = 300.0;
 
-/// What a ratio keeps of its past with each addition: a dozen tasks settle it; of all hosts of a role,
-/// dozens.
+/// Share of its past that a ratio keeps at each addition. For one host about a dozen tasks settle it; for all
+/// hosts of a role together, dozens.
 const HOST_RATIO_RETENTION: f64 = 0.8;
 const POOLED_RATIO_RETENTION: f64 = 0.9;
 
-/// Whether a count of pending tokens is at most so much, and its host may be sent to at all: where none may,
-/// all counts are without bound, and so is the most.
+/// Whether a count of pending tokens is within a limit. The count of a host that may not be sent to is
+/// infinite and never is: if no host may be sent to, the limit is infinite too.
 fn is_within(tokens: f64, limit: f64) -> bool {
     tokens.is_finite() && tokens <= limit
 }
 
 impl Offering {
-    /// Whether a shot that may have run may be followed by another, there or (absent) anywhere: a replayable
-    /// one always, a referenced one inside its group and window, a single-use one never.
+    /// Whether another shot may follow one that may have run, at `next_host` or, if absent, at any host.
+    /// Always for a replayable offering, inside its group and window for a referenced one, never for a
+    /// single-use one.
     fn may_repeat(&self, shot: &Shot, next_host: Option<&Host>, now: Duration) -> bool {
         let same_group = next_host.is_none_or(|next_host| match self.group.as_str() {
             "all" => true,
@@ -41,7 +50,8 @@
             || (self.effect == "referenced" && same_group && now < shot.sent_at + self.repeat_window)
     }
 
-    /// By when a shot has to begin, inside the windows of all that may have run: its connection may take longer.
+    /// Latest time at which the first byte of a shot may go out, as its connection may take long to come up:
+    /// inside the windows of all earlier shots that may have run.
     fn begin_by(&self, task: &Task, until: Duration) -> Duration {
         let binding = task.shots_that_may_have_run().filter(|_| self.effect == "referenced");
         binding.map(|shot| shot.sent_at + self.repeat_window).fold(until, Duration::min)
@@ -49,11 +59,12 @@
 }
 
 impl Rules {
+    /// The rules of one dispatcher with the terms given at start; the seed makes its random choices repeatable.
     pub fn new(seed: u64, terms: &Terms) -> Self {
         let dispatchers = terms.number("dispatchers").unwrap_or(1.0).max(1.0);
         let offerings = (0..terms.entries("offerings").max(1)).map(|i| Self::offering(terms, i));
         let mut offerings: Vec<Offering> = offerings.collect();
-        // What brings less comes after what brings most.
+        // Offerings that bring less come after the one that brings most.
         let highest_gain = offerings.iter().map(|offering| offering.gain).fold(0.001, f64::max);
         offerings.iter_mut().for_each(|offering| offering.relative_gain = offering.gain / highest_gain);
         Rules {
@@ -61,10 +72,12 @@
             offerings,
             dispatchers,
             own_zone: terms.number("zone_index").map_or(u32::MAX, |zone| zone as u32),
-            // Until prompts have been seen: the order of magnitude at which reading is felt.
+            // Until prompts have been seen: the order of magnitude at which reading a prompt takes noticeable
+            // time.
             long_prompt_tokens: 2000.0,
             safety_factor: 1.0,
-            // As if two prompts had been read at engines' order of magnitude: one full host makes none late.
+            // As if two prompts had been read at the usual speed of engines, so that a single full host does
+            // not make every task late.
             role_read_times: [DecayingRatio { numerator: 0.4, denominator: 4000.0 }; 4],
             terms: terms.clone(),
             ..Rules::default()
@@ -89,8 +102,9 @@
         }
     }
 
+    /// Takes one event and appends the actions that it calls for.
     pub fn on(&mut self, now: Duration, event: &Event, out: &mut Vec<Action>) {
-        // A clock that goes back stands still here.
+        // Time never goes back here, even if the caller's clock does.
         self.now = self.now.max(now);
         self.first_event_at.get_or_insert(self.now);
         let task = match event {
@@ -138,15 +152,15 @@
             let warm_at =
                 line.up_for.filter(|up| *up < warm_up).map_or(Duration::ZERO, |up| now + warm_up - up);
             let host = &mut self.hosts[index];
-            // A later start under the same id is a new host, as is a new name: only what is still out there
-            // is carried over.
+            // A later start under the same index is a new host, and so is a new name. Only what is still in
+            // flight is carried over.
             if host.listed.mark != line.mark || host.listed == Listed::default() || warm_at > host.warm_at {
                 *host = Host {
                     pending_read_tokens: host.pending_read_tokens,
                     pending_stream_tokens: host.pending_stream_tokens,
                     shots_in_flight: host.shots_in_flight,
                     warm_at,
-                    // A further shot or two may be needed before a host's first answers are in.
+                    // Enough for one or two retries before the first answers of a host arrive.
                     retry_credit: 2.0,
                     cache_hit_ratio: DecayingRatio {
                         numerator: if warm_at > now { 0.0 } else { 2000.0 },
@@ -163,7 +177,8 @@
             host.listed = *line;
         }
         self.update_cell_weights();
-        // What waits at a host that is gone turns away from it at once; what waits for one may have one now.
+        // Shots that wait at a host that is gone are cancelled at once; tasks that wait for a host may have
+        // one now.
         for t in 0..self.tasks.len() {
             self.plan(t);
             self.reconcile(t, out);
@@ -197,7 +212,7 @@
                     offering_terms.agreed_seconds + offering_terms.agreed_seconds_per_token * prompt,
                 ),
             wait_until: now + Duration::from_secs_f64(offering_terms.agreed_seconds / 2.0),
-            // A tick or two inside the client's own time.
+            // 4 ms, a tick or two, inside the client's own time limit.
             deadline: now + order.left.saturating_sub(Duration::from_millis(4)),
             output_tokens: match order.hint {
                 Some(hint) => (hint.as_secs_f64() / offering_terms.output_seconds_per_token)
@@ -206,7 +221,8 @@
             },
             shots,
             reported_cached: self.next_reported_cached.take(),
-            // An answer gone on with: its lost shot binds what follows like one of its own.
+            // This task continues a lost answer: the shot that was lost restricts the next ones as one of its
+            // own would.
             prior_shot: order.ran.map(|Ran { host, sent }| Shot {
                 host,
                 listed: self.hosts.get(host as usize).map(|host| host.listed).unwrap_or_default(),
@@ -216,7 +232,8 @@
             }),
             ..Task::default()
         };
-        // The upper quartile of prompt lengths, by small steps: a few dozen prompts settle it.
+        // Estimate of the upper quartile of prompt lengths, moved in small steps: a few dozen prompts settle
+        // it.
         self.long_prompt_tokens *= if prompt > self.long_prompt_tokens { 1.015 } else { 0.995 };
         order.task
     }
@@ -234,8 +251,9 @@
         host.pending_read_tokens -= shot.uncached_tokens;
         host.latest_answered_sent_at = host.latest_answered_sent_at.max(shot.sent_at);
         if shot.phase == Phase::Write {
-            // Seven shots' memory: 0.05 followed lost writers too slowly, 0.3 was no better. One answer
-            // counts for four times the usual at most: slow hosts don't make every task late.
+            // Averages over about seven shots: a factor of 0.05 followed lost writers too slowly, and 0.3 was
+            // no better. One answer counts for at most four times the usual time, so that slow hosts do not
+            // make every task look late.
             let usual_seconds = &mut self.first_token_seconds[usize::from(state_cell != host.listed.cell)];
             *usual_seconds += 0.15 * (waited.min(4.0 * *usual_seconds + 0.1) - *usual_seconds);
         } else {
@@ -250,7 +268,8 @@
         let (now, t) = (self.now, closed.task);
         let Some(task) = self.tasks.get_mut(t as usize).filter(|task| task.live) else { return t };
         task.ended |= closed.finished;
-        // As long without an attempt as a state may be held: for a start, once nothing is held any more.
+        // Once nothing is held any more, the task waits for a new start as long as a state may be held
+        // without an attempt.
         task.wait_until = now + release_after(self.terms.span("service.release_us").unwrap_or_default());
         let Some(shot) = task.shots.get_mut(closed.shot as usize).filter(|shot| shot.in_flight) else {
             return t;
@@ -281,15 +300,16 @@
         if host.shots_in_flight == 0 {
             (host.pending_read_tokens, host.pending_stream_tokens) = (0.0, 0.0);
         }
-        // Its place has a new owner, who must not pay for the one that left. Holds against fleets replaced at
-        // once, under new names, while shots are out.
+        // The slot has a new owner, which must not be blamed for shots of the one that left. Holds against
+        // fleets that are replaced at once under new names while shots are in flight.
         if host.listed.mark != shot.listed.mark {
             return t;
         }
-        // Turned away by a host that own counts, taken for every dispatcher's, leave mostly free, while a
-        // peer answers: not for its load. Holds against hosts that drain untold or are throttled: else their
-        // refusals count as a jam of all, and what could be read elsewhere is bounced. May send on too soon
-        // from one that others fill.
+        // A host that rejects a shot although it looks mostly free (own counts, multiplied by the number of
+        // dispatchers) while a peer answers does not reject it for its load. Holds against hosts that drain
+        // unannounced or are throttled: without this their rejections count as an overload of the whole role,
+        // and tasks that others could read are bounced. The cost: the task may leave too early a host that
+        // other dispatchers fill.
         let dispatchers = self.dispatchers;
         let is_free = if shot.phase == Phase::Write {
             host.pending_stream_tokens * dispatchers < 0.5 * host.listed.memory_tokens.unwrap_or(0.0)
@@ -298,18 +318,20 @@
                 < 0.25 * agreed_seconds
         };
         let refuses_though_free = closed.outcome == Outcome::Full && is_free && peer_answered;
-        // One lost connection or two errors take a host past half of certain; a silence takes it there.
+        // One lost connection or two errors take a host past a suspicion of 0.5; one silence takes it exactly
+        // there.
         let blame = match closed.outcome {
             Outcome::Error | Outcome::Spoilt => 0.35,
             Outcome::Full if refuses_though_free => 0.35,
-            // A client that leaves little time says nothing of the host.
+            // A time-out because the client left little time tells nothing about the host.
             Outcome::TimedOut if limit_passed => 0.5,
             Outcome::Cancelled if shot.cancelled && !ended => 0.5,
             Outcome::Broken | Outcome::NoConnection => 0.6,
             _ => 0.0,
         };
-        // What was not read in time took at least so long, a full reader has an agreed time's reads before
-        // it: else only what came through a jam would count, and the jam would look like none.
+        // A read that did not end in time took at least so long, and a full reader has an agreed time's worth
+        // of reads before it. Without this only reads that came through an overload would count, and the
+        // overload would not show.
         let read_seconds =
             if closed.outcome == Outcome::Full { agreed_seconds } else { (now - shot.sent_at).as_secs_f64() };
         let counts_as_read =
@@ -322,7 +344,7 @@
         } else if !shot.failed {
             host.record_answer(now);
         }
-        // A line for the one on call: a host is half suspected (a silence, two errors), or no longer.
+        // A note for the operator: the host has become suspected (one silence, two errors), or answers again.
         let suspicion = host.suspicion_at(now);
         if if host.suspected { suspicion < 0.2 && !shot.failed } else { suspicion >= 0.5 } {
             host.suspected = !host.suspected;
@@ -343,7 +365,8 @@
                     POOLED_RATIO_RETENTION,
                 );
             }
-            // What the note says was kept counts: a host that forgot one text has likely forgotten more.
+            // Compares the host's report with the estimate: a host that has evicted one text has probably
+            // evicted more.
             if shot.estimated_cached_tokens > 0 {
                 let found_cached = closed.kept_tokens.min(shot.estimated_cached_tokens);
                 host.cache_hit_ratio.add(
@@ -361,14 +384,16 @@
         t
     }
 
-    /// A shot ran out of its client's time, or the client left before the agreed time: a tenth more for each, a
-    /// hundredth less for one that came. Holds against impatient clients, and such as ask again at once.
+    /// Raises the safety factor by a tenth for each shot that ran out of its client's time and for each
+    /// client that left before the agreed time; each answer lowers it by a hundredth. Holds against impatient
+    /// clients and those that repeat a request at once.
     fn raise_safety_factor(&mut self) {
         self.safety_factor = (self.safety_factor * 1.1).min(4.0);
     }
 
-    /// Reports in tokens or in a share of a memory told in tokens, no other. Whole prompts are reported; the
-    /// part of them that reads found not kept is what delays.
+    /// Applies a load report: tokens to read, or the share of a memory whose size in tokens was given at
+    /// start; other fields are ignored. Hosts report whole prompts, but only the part that reads find
+    /// uncached causes delay.
     fn apply_load(&mut self, h: u32, load: &Load) {
         let Some(host) = self.hosts.get_mut(h as usize) else { return };
         let uncached_share =
@@ -385,15 +410,15 @@
         }
     }
 
-    /// Tokens of a task's prompt that a host is told to hold, else thought to have kept. A text not known to
-    /// be kept anywhere is thought kept at its homes; the note on the first read corrects that.
+    /// Prompt tokens of a task that a host holds: as reported, else as estimated. A text that is not known to
+    /// be cached anywhere is assumed to be at its homes; the result of the first read corrects that.
     fn estimated_cached_tokens(&self, t: usize, h: u32) -> u32 {
         let Task { order, text_homes, session_home, .. } = &self.tasks[t];
         let estimated = if text_homes.contains(&h) { order.shared_tokens } else { 0 };
         if let Some(reported) = self.tasks[t].reported_cached_tokens(h) {
             return if self.tasks[t].is_shared_text_reported() { reported } else { reported.max(estimated) };
         }
-        // Kept texts give way to newer ones in time; a minute is many times a session's pause.
+        // Cached texts are evicted in time; a minute is many times the usual pause in a session.
         let cached_since = self.now.saturating_sub(Duration::from_secs(60));
         let shared = cached_tokens_at(&self.shared_text_caches, order.shared, h, cached_since)
             .unwrap_or(estimated)
@@ -404,23 +429,25 @@
         session.min(order.prompt_tokens).max(shared)
     }
 
-    /// Prompt tokens left to read: kept ones are deducted as far as the host's notes have borne them out of
-    /// late. Holds against flushes and against texts dropped for want of memory.
+    /// Prompt tokens that a host would have to read. Cached tokens are deducted as far as recent reads at
+    /// this host confirmed the estimates. Holds against cache flushes and evictions under memory pressure.
     fn uncached_tokens(&self, t: usize, h: u32) -> f64 {
         let cached = self.estimated_cached_tokens(t, h);
-        // What is told has been weighed by what reads bore out.
+        // Reported tokens are already weighted by what reads confirmed.
         let is_reported = self.tasks[t].reported_cached_tokens(h) == Some(cached);
         let cache_hit_ratio = if is_reported { 1.0 } else { self.hosts[h as usize].cache_hit_ratio.value() };
         f64::from(self.tasks[t].order.prompt_tokens) - f64::from(cached) * cache_hit_ratio
     }
 
-    /// A shared text is at home at the hosts that a hash of both ranks highest: dispatchers that cannot talk
-    /// bring it to the same readers, whose memory holds more texts. Two, or as many as its part of the tasks
-    /// seen here would keep busy; where counts tell little, those of the own zone first: cuts run between zones.
+    /// The homes of a shared text: the hosts that rank highest by a hash of both. Dispatchers that do not
+    /// communicate thus send a text to the same readers, whose memory holds more distinct texts. Two homes,
+    /// or up to eight if its share of the tasks seen here would keep that many busy. The less own counts
+    /// tell, the more the own zone comes first, as network partitions run between zones.
     fn rank_text_homes(&mut self, order: &Order) -> [u32; 8] {
         let Some(key) = order.shared else { return [u32::MAX; 8] };
-        // Half a minute: dozens of tasks even at one a second; ten more, so that a second text is not all. This
-        // task is left out: where few are seen, each text would else seem in demand by it alone.
+        // Half a minute: dozens of tasks even at one a second. Ten more, so that the second text seen does
+        // not count for all tasks. The current task is left out: where few tasks are seen, it alone would
+        // make each text seem in demand.
         let earlier_tasks = count_task(&mut self.shared_text_caches, key, self.now, 30.0) - 1.0;
         let (all_tasks, count_uncertainty) =
             (self.recent_tasks.decayed(self.now, 30.0) + 10.0, self.count_uncertainty());
@@ -431,10 +458,10 @@
         top_ranked(wanted, readers().map(|(h, host)| (zone_factor(host) * Self::home_rank(key, host), h)))
     }
 
-    /// The session's last reader; where another dispatcher had it, its home stands in for it.
+    /// The reader that read the session last; if another dispatcher had the session, its home stands in.
     fn preferred_reader(&self, t: usize) -> Option<u32> {
         let (task, order) = (&self.tasks[t], &self.tasks[t].order);
-        // One that is told to hold nothing of it has lost it: no reason to go back.
+        // A host that reports nothing of it has lost it: there is no reason to go back.
         let may_hold = |h: &u32| task.reported_cached_tokens(*h) != Some(0);
         let last_in =
             |table: &[CachedText], key: Option<Key>| find_cached(table, key)?.last_reader.filter(may_hold);
@@ -442,11 +469,11 @@
         of_session.or_else(|| last_in(&self.shared_text_caches, order.shared))
     }
 
-    /// A session that is not known here is at home at the one among its text's homes that a hash of it ranks
-    /// highest, in the own zone first; without such a text, among all that read.
+    /// The home of a session that is not known here: of the homes of its shared text the one that a hash of
+    /// the session ranks highest, the own zone first; without a shared text, of all hosts that read.
     fn find_session_home(&self, order: &Order, text_homes: &[u32; 8]) -> Option<u32> {
         let key = order.session?;
-        // Where nobody else may have had it, one that is not known is new.
+        // Where no other dispatcher may have had it, a session that is not known is new.
         let known = find_cached(&self.session_caches, order.session)
             .is_some_and(|cached| cached.last_reader.is_some());
         if known || self.dispatchers <= 1.0 {
@@ -457,22 +484,23 @@
             self.running_hosts(Role::Reader).chain(self.running_hosts(Role::Mixed)).map(|(h, _)| h);
         best_ranked(text_readers.chain(all_readers.filter(|_| order.shared.is_none())).map(|h| {
             let host = &self.hosts[h as usize];
-            // Homes of texts were picked by their parts.
+            // The homes of a text were already picked by weight.
             let weight = if order.shared.is_some() { host.home_weight } else { 1.0 };
             (host.listed.zone == self.own_zone, Self::home_rank(key, host) / weight, h)
         }))
     }
 
-    /// Tokens thought kept at a session's home: its shared text, and of the rest what reads there found.
-    /// Others saw most turns, where each sees little. Not where counts don't tell who is loaded: sessions
-    /// would stay with readers that choke, unseen.
+    /// Tokens that a session's home is expected to have cached: its shared text, and of the rest the share
+    /// that reads at homes found. Where each dispatcher sees few tasks, others handled most turns of a
+    /// session. The share falls to nothing where own counts do not show which reader is loaded: sessions
+    /// would stay with overloaded readers.
     fn expected_cached_at_home(&self, order: &Order) -> u32 {
         let beyond_shared = f64::from(order.prompt_tokens.saturating_sub(order.shared_tokens));
         order.shared_tokens
             + (beyond_shared * self.home_hit_ratio.value() * (1.0 - self.count_uncertainty())) as u32
     }
 
-    /// Weighted rendezvous hashing: highest on each host in proportion to its part of the tasks.
+    /// Weighted rendezvous hashing: each host ranks highest for a share of keys in proportion to its weight.
     fn home_rank(key: Key, host: &Host) -> f64 {
         host.home_weight / -Pcg32(key.mark ^ host.listed.mark).advanced().next_unit().ln().min(-1e-12)
     }
@@ -481,25 +509,30 @@
         (0..).zip(&self.hosts).filter(move |(_, host)| host.is_running() && host.listed.role == role)
     }
 
-    /// Whether the list, the operators' credit, the effect rules and the cold budget let a shot go there.
+    /// Whether the list of hosts, the retry credit, the effect rules and the cold budget let a shot go to
+    /// this host.
     fn may_send(&mut self, t: usize, h: u32) -> bool {
         let now = self.now;
         let (task, host) = (&self.tasks[t], &self.hosts[h as usize]);
         let offering = &self.offerings[task.offering];
         let has_credit = host.retry_credit >= 1.0 || !task.shots.iter().any(|shot| shot.failed);
-        // A read for it counts as a further shot too, though it has no effect of its own.
+        // A read that follows a shot which may have run counts as a further shot too, though it has no effect
+        // itself.
         let allowed = host.is_running()
             && has_credit
             && task.shots_that_may_have_run().all(|shot| offering.may_repeat(shot, Some(host), now));
         allowed && self.refill_cold_budget(h) >= 1.0
     }
 
-    /// Shots that a cold host may be sent now. The budget fills at the part of a warm peer's own traffic that
-    /// the host can do for certain, and a shot not taken in half the time in which a host falls, or until two
-    /// more tasks are due here, lapses: no burst, and nothing forgotten at a restart is spent twice. All
-    /// dispatchers' parts add up to a warm peer's traffic times that part, well inside the multiple at which
-    /// the host falls. Each starts at its own place between nothing and a shot: else hundreds would all come
-    /// late and at once.
+    /// Shots that a cold host may be sent now; infinite for a warm one.
+    ///
+    /// The budget fills at the rate at which this dispatcher sends shots to a warm peer, times the share of a
+    /// warm host's work that the cold one can do for certain. All dispatchers' budgets thus add up to that
+    /// share of a warm peer's traffic, well below the multiple at which a cold host falls over. A whole shot
+    /// that is not used lapses after half the time in which a host falls over, or after two more tasks are
+    /// due here, if that is later. So there is no burst, and a restarted dispatcher spends nothing twice.
+    /// Each dispatcher starts at its own level between zero and one shot: without this, hundreds of them
+    /// would all send late and at once.
     fn refill_cold_budget(&mut self, h: u32) -> f64 {
         let (now, host) = (self.now, &self.hosts[h as usize]);
         if now >= host.warm_at {
@@ -509,7 +542,8 @@
         let age = 1.0 - (host.warm_at - now).as_secs_f64() / warm_up.max(0.001);
         let (peer_rate, task_rate) = self.role_rates[host.listed.role as usize];
         let cold_from = self.terms.number("rules.cold_from").unwrap_or(0.1);
-        // Warming evenly, but never past four fifths of what a host that stays cold throughout would stand.
+        // Rises evenly, but never past four fifths of the load that a host which stays cold throughout would
+        // stand.
         let share_limit = 0.8 * cold_from * self.terms.number("rules.fall_multiple").unwrap_or(1.0);
         let send_share = (cold_from + (1.0 - cold_from) * age.max(0.0)).min(share_limit);
         let host = &mut self.hosts[h as usize];
@@ -523,13 +557,15 @@
         level
     }
 
-    /// Shots a second from here that a warm host of a role read or began to answer (the last one, where none
-    /// is warm), at most its part of the tasks among all that do the same step; and tasks a second. Holds
-    /// against fleets replaced at once: few that run are sent more than they can do, new ones would be too.
+    /// Shots a second from this dispatcher that a warm host of a role read or began to answer (the last known
+    /// rate if none is warm), and tasks a second that arrive here. The first is at most one host's share of
+    /// the tasks among all hosts that do the same step. Holds against fleets that are replaced at once: the
+    /// few hosts left running are sent more than they can do, and without this limit new ones would be too.
     fn measure_role_rates(&self, role: Role) -> (f64, f64) {
         let now = self.now;
-        // Over half a minute: shorter, and one of hundreds sees none most of the time. After a start as of so
-        // much less; for ten seconds not all, as what comes then is clients who ask again.
+        // Rates over half a minute: with less, one of hundreds of dispatchers sees no task most of the time.
+        // Soon after the start they are scaled to the time since then, but to ten seconds at least, as the
+        // first tasks are mostly clients that repeat their requests.
         let elapsed = (now - self.first_event_at.unwrap_or_default()).as_secs_f64().max(10.0);
         let per_second = 1.0 / (30.0 * (1.0 - (-elapsed / 30.0).exp()));
         let warm = self.running_hosts(role).filter(|(_, peer)| now >= peer.warm_at);
@@ -556,8 +592,8 @@
             .map(|role| self.measure_role_rates(role));
     }
 
-    /// Seconds a token takes at a host, of late, weighed against two long prompts of its role's: where it is
-    /// heard of twice a minute, that tells a jam from a slow host.
+    /// Recent seconds for each token read at a host, smoothed with two long prompts at its role's speed. If
+    /// the host answers at least twice a minute, that tells an overload from a slow host.
     fn seconds_per_read_token(&self, h: u32) -> f64 {
         let (host, weight) = (&self.hosts[h as usize], 2.0 * self.long_prompt_tokens);
         let (decay, usual) =
@@ -565,16 +601,17 @@
         (host.read_times.numerator * decay + weight * usual) / (host.read_times.denominator * decay + weight)
     }
 
-    /// How many times slower than its role a reader has been of late; 1 within the usual spread of sound
-    /// ones, up to 2 so weighed; ten bounds what a reading taken in a jam can do.
+    /// How many times slower than its role a reader has been recently. Below 2, after smoothing, is the usual
+    /// spread of sound hosts and counts as 1. At most 10, to limit the effect of a figure taken during an
+    /// overload.
     pub(crate) fn slowdown(&self, h: u32, phase: Phase) -> f64 {
         let times = self.seconds_per_read_token(h)
             / self.role_read_times[self.hosts[h as usize].listed.role as usize].value();
         if times < 2.0 || phase == Phase::Write { 1.0 } else { times.min(10.0) }
     }
 
-    /// Tokens before a new read: own pending ones or the late report of tokens to read, whichever is larger;
-    /// a host without a late report counts at the average of those of its role that have one.
+    /// Tokens to be read before a new read: the own pending ones or the host's recent report, whichever is
+    /// larger. A host without a recent report counts at the average report of its role.
     fn queued_tokens(&self, h: u32) -> f64 {
         let host = &self.hosts[h as usize];
         host.pending_read_tokens.max(
@@ -583,7 +620,7 @@
         )
     }
 
-    /// What a far move adds to the time of a first token, in agreed times.
+    /// How much longer a first token takes if the state leaves its cell, in agreed times.
     fn remote_fetch_cost(&self) -> f64 {
         let ([near, far], agreed_seconds) =
             (self.first_token_seconds, self.offerings[0].agreed_seconds.max(0.01));
@@ -596,17 +633,19 @@
         near + remote_share * (far - near)
     }
 
-    /// How little own counts tell of who is loaded: much where readers see a few long prompts from here a
-    /// minute, not where they report tokens.
+    /// How little this dispatcher's own counts tell about who is loaded, from 0 to 1: close to 1 where a
+    /// reader gets only a few long prompts from here in a minute, 0 where readers report their tokens.
     fn count_uncertainty(&self) -> f64 {
         4.0 * self.long_prompt_tokens / (4.0 * self.long_prompt_tokens + self.mean_recent_read_tokens)
     }
 
-    /// Pending tokens of a host for a task that would add `net`, suspicion and slowness charged in tokens.
+    /// Pending tokens of a host for a task that would add `added_tokens`, with suspicion and slowness charged
+    /// as tokens.
     fn pending_tokens(&self, h: u32, phase: Phase, added_tokens: f64) -> f64 {
         let host = &self.hosts[h as usize];
         let streams = if phase == Phase::Read { 0.0 } else { host.pending_stream_tokens };
-        // Fast failures empty a host: eight long prompts for certain suspicion, and more with shots on trial.
+        // A host that fails fast is always empty and would attract traffic: full suspicion costs eight long
+        // prompts, and more with each shot already in flight there.
         let suspicion_tokens =
             host.suspicion_at(self.now) * 8.0 * self.long_prompt_tokens * f64::from(1 + host.shots_in_flight);
         let load =
@@ -614,11 +653,13 @@
         if phase != Phase::Read {
             return load;
         }
-        // Where states have to leave the cell and links are slow: an agreed time counts two long prompts.
+        // Where states have to leave the cell and links are slow: one agreed time of delay costs two long
+        // prompts.
         let remote_cost = 2.0 * host.remote_fetch_share * self.remote_fetch_cost();
-        // What a dispatcher brought a reader of late stands for what all did, as they choose alike: three
-        // long prompts for each part beyond its own, as far as own counts are thin and no reader reports
-        // tokens. A long prompt each is taken as asked, so that the first ones weigh little.
+        // What this dispatcher sent a reader recently stands for what all of them sent, as they choose alike:
+        // three long prompts for each average share beyond its own, weighted by how little own counts tell;
+        // nothing where readers report tokens. One long prompt is added to both sides, so that the first
+        // prompts weigh little.
         let (long_prompt_tokens, recent_tokens) =
             (self.long_prompt_tokens, host.recent_read_tokens.decayed(self.now, 60.0));
         let count_uncertainty = self.count_uncertainty();
@@ -629,7 +670,8 @@
         load + (remote_cost + 3.0 * over_share * count_uncertainty) * long_prompt_tokens
     }
 
-    /// Counts of pending tokens, one a host, without bound where the shot may not go; and the fewest.
+    /// Fills `pending_counts`, one entry for each host, infinite where the shot may not go; returns the
+    /// lowest.
     fn update_pending_counts(&mut self, t: usize, phase: Phase) -> f64 {
         let (prompt, output_tokens) =
             (f64::from(self.tasks[t].order.prompt_tokens), self.tasks[t].output_tokens);
@@ -665,8 +707,9 @@
                 ),
             };
             let allowed = fits && self.may_send(t, h);
-            // The host that this task's answer is taken from, lost or slow, or that turned it away, counts as
-            // past what is alike: its own counts may not tell why. Not where it may have run: mostly by chance.
+            // The host that lost this task's answer or was too slow, or that rejected it, counts as just
+            // beyond a tie: own counts may not show why it did so. Not if the shot may have run there, as
+            // such failures are mostly chance.
             let avoided = self.tasks[t].avoids(h);
             let avoid_penalty = if avoided { 1.5 * self.tie_margin(t) } else { 0.0 };
             pending_counts.push(if allowed {
@@ -679,12 +722,14 @@
         self.pending_counts.iter().copied().fold(f64::INFINITY, f64::min)
     }
 
-    /// The reader with the fewest pending tokens; the last reader wins up to one long prompt above it.
+    /// The reader with the fewest pending tokens; the preferred reader wins if it is at most one long prompt
+    /// above that.
     fn pick_reader(&mut self, t: usize) -> Option<u32> {
         let fewest = self.update_pending_counts(t, Phase::Read);
-        // A cold one that may be sent to goes first: its shot would lapse, and where hundreds see little no
-        // count tells that it is free. Holds against fleets replaced at once, whose few warm hosts choke
-        // beside cold ones that nobody picks.
+        // A cold reader that may be sent to goes first: its shot would lapse, and where hundreds of
+        // dispatchers see few tasks each, no count shows that it is free. Holds against fleets that are
+        // replaced at once: without this their few warm hosts are overloaded beside cold ones that nobody
+        // picks.
         let candidates =
             (0..).zip(&self.pending_counts).map(|(h, count)| (h, *count, &self.hosts[h as usize]));
         let cold = candidates.filter(|(_, count, host)| {
@@ -694,15 +739,17 @@
         if let Some((h, ..)) = cold.min_by(|a, b| far(a.2).cmp(&far(b.2)).then(a.1.total_cmp(&b.1))) {
             return Some(h);
         }
-        // Only a last reader that may be sent to counts: with none at all, both are without bound.
+        // Only a preferred reader that may be sent to: if none may be, its count and the lowest are both
+        // infinite.
         let preferred = self
             .preferred_reader(t)
             .filter(|h| is_within(self.pending_counts[*h as usize], fewest + self.long_prompt_tokens));
         if preferred.is_some() {
             return preferred;
         }
-        // Less than a step apart is alike: own zone, then by a hash of the session, so that dispatchers don't
-        // follow others and yet bring its next turn to the same reader.
+        // Counts less than the fixed cost of a read apart are a tie: own zone first, then by a hash of the
+        // session. So dispatchers do not all pick the same host, yet bring the next turn of a session to the
+        // same reader.
         let (ties, key) = ((0..).zip(&self.pending_counts), self.tasks[t].order.session);
         best_ranked(ties.filter(|(_, count)| is_within(**count, fewest + READ_OVERHEAD_TOKENS)).map(
             |(h, _): (u32, _)| {
@@ -713,11 +760,13 @@
         ))
     }
 
-    /// What all would send a cell's writers if each state stayed in its cell, against what they can take.
-    /// Where hundreds of dispatchers see a task a second each, own counts do not tell: racks with many
-    /// readers would choke their few writers, unseen.
+    /// Sets what share of a cell's reads has to leave it, from the cell's shares of all reading and of all
+    /// writing hosts, as if each state stayed in its cell. Where hundreds of dispatchers see one task a
+    /// second each, own counts do not show it: without this, racks with many readers overload their few
+    /// writers unnoticed.
     fn update_cell_weights(&mut self) {
-        // A mixed host does a quarter of a writer's part whole, as reads slow streams, the rest from states.
+        // A mixed host does a quarter of a writer's work as whole tasks, as reads slow streams down, and the
+        // rest from states.
         let write_weight = |role| [0.0, 1.0, 0.75, 0.0][role as usize];
         let read_weight = |role| [1.0, 0.0, 0.0, 0.0][role as usize];
         let sum = |weight_of: fn(Role) -> f64, selected: &dyn Fn(&Listed) -> bool| -> f64 {
@@ -744,18 +793,20 @@
 
     fn tie_margin(&self, t: usize) -> f64 {
         let task = &self.tasks[t];
-        // Four: with one, three fifths of the tokens left their cell; eight let near writers fill up.
+        // Four times the task's own tokens: with one, three fifths of the tokens left their cell; with eight,
+        // near writers filled up.
         4.0 * (f64::from(task.order.prompt_tokens) + task.output_tokens)
     }
 
-    /// The writer with the fewest pending tokens. Within four times this task's own charge, what a few picks
-    /// tip, the reader's cell is preferred, as far as its writers can take what all its readers read; then
-    /// cells with writers to spare, by chance in proportion, those of its zone rather.
+    /// The writer with the fewest pending tokens. Among those within the tie margin, a difference that a few
+    /// picks make, writers of the reader's cell come first, as far as they can take what its readers read.
+    /// Then cells with spare writers, at random in proportion to what they can take, those of the own zone
+    /// rather.
     fn pick_writer(&mut self, t: usize, phase: Phase) -> Option<u32> {
         let (fewest, margin) = (self.update_pending_counts(t, phase), self.tie_margin(t));
         let source = self.tasks[t].held.reader().map(|h| self.hosts[h as usize]);
-        // As far as own streams at the writers don't show who is full, and as far as it is worth it: slow
-        // links cost more than a full writer near by.
+        // Leave the cell only as far as own streams do not show which writer is full, and as far as it pays:
+        // slow links cost more than a full writer near by.
         let writers = self.running_hosts(Role::Writer);
         let (own_streams, tie_tokens) =
             writers.fold((0.0, 1.0), |s, (_, host)| (s.0 + host.pending_stream_tokens, s.1 + margin));
@@ -771,17 +822,17 @@
         };
         let ties = (0..).zip(&self.pending_counts).filter(|(_, count)| is_within(**count, fewest + margin));
         let now = self.now;
-        // The least of -ln(chance) / weight falls on each host in proportion to its weight.
+        // The least of -ln(random) / weight falls on each host in proportion to its weight.
         let ranked = ties.map(|(h, _): (u32, _)| {
             let host = &self.hosts[h as usize];
-            // Eight: a zone short of writers still sends some away, one that is not few.
+            // Eight: a zone short of writers still sends some states to others, one with enough writers few.
             let same_zone = source.is_none_or(|source| source.listed.zone == host.listed.zone);
             let weight = if !leaves_cell {
                 1.0
             } else {
                 host.spare_writer_share.max(1e-9) * if same_zone { 8.0 } else { 1.0 }
             };
-            // As with readers, where the state need not leave its zone for it.
+            // Cold writers go first for the same reason as cold readers, if the state stays in its zone.
             let prefer_cold = now < host.warm_at && same_zone;
             ((!prefer_cold, distance(host)), -self.random.next_unit().ln() / weight, h)
         });
@@ -793,9 +844,10 @@
             * (self.queued_tokens(h) + self.uncached_tokens(t, h) + READ_OVERHEAD_TOKENS)
     }
 
-    /// Whether a read begun now would end in time for a first token at the agreed time, behind no more than
-    /// half the agreed time of what brings most, in proportion to its rank. Holds against overload: with
-    /// longer queues sessions leave readers that have kept them. May bounce what would have been in time.
+    /// Whether a read begun now would lead to a first token within the agreed time, and waits no longer than
+    /// half the agreed time of the offering with the highest gain, scaled by this one's relative gain. Holds
+    /// against overload: with longer queues sessions leave readers that have cached them. The cost: some
+    /// tasks are bounced that would have been in time.
     fn read_in_time(&self, t: usize, h: u32) -> bool {
         let (now, task, host) = (self.now, &self.tasks[t], &self.hosts[h as usize]);
         let seconds_left = task.target_at.min(task.deadline).saturating_sub(now).as_secs_f64();
@@ -803,8 +855,9 @@
         let max_wait = top.map_or(f64::INFINITY, |top| {
             0.5 * top.agreed_seconds * self.offerings[task.offering].relative_gain
         });
-        // Old, bad readings cannot shut all for good: a trial, for one task in twelve and one at a time, else
-        // hundreds of dispatchers' keep a jam; not for impatient clients, for whom it would end too late.
+        // Old, bad figures must not block all reads for good: one task in twelve is sent as a trial. One at a
+        // time, as the trials of hundreds of dispatchers would keep an overload going, and not for impatient
+        // clients, for whom the trial would end too late.
         let trial = self.tasks_since_read >= 12
             && seconds_left > 0.5 * self.offerings[task.offering].agreed_seconds
             && self.running_hosts(host.listed.role).all(|(_, peer)| peer.pending_read_tokens <= 0.0);
@@ -816,15 +869,18 @@
                     < seconds_left)
     }
 
-    /// Overload: what the writers have no memory for is bounced unread, a quarter past the full for what
-    /// brings the most. Own streams stand for all dispatchers', unless more is reported or one alone would
-    /// stand for more than a writer's memory: among hundreds of dispatchers who has a few more than others
-    /// would bounce what the writers have room for. There late first tokens tell (`read_in_time`).
+    /// Whether the writers have memory for one more task; if not, it is bounced before its prompt is read. Up
+    /// to a quarter more than full for the offering with the highest gain.
+    ///
+    /// Own streams stand for those of all dispatchers, unless the hosts report more. They are ignored if one
+    /// stream multiplied by the number of dispatchers would exceed a writer's memory: among hundreds of
+    /// dispatchers, one with a few streams more than others would bounce tasks that the writers have room
+    /// for. There, late first tokens show the overload (`read_in_time`).
     fn has_writer_capacity(&self, t: usize) -> bool {
         let writers = self.running_hosts(Role::Writer).chain(self.running_hosts(Role::Mixed));
         let stream =
             (f64::from(self.tasks[t].order.prompt_tokens) + self.tasks[t].output_tokens) * self.dispatchers;
-        // A host lost without notice counts no longer once it is suspected.
+        // A host lost without notice counts less, the more it is suspected.
         let memory =
             |host: &Host| host.listed.memory_tokens.unwrap_or(0.0) * (1.0 - host.suspicion_at(self.now));
         let (held, memory) = writers.fold((0.0, 0.0), |sum, (_, host)| {
@@ -835,9 +891,10 @@
         memory == 0.0 || held <= memory * (1.0 + 0.25 * self.offerings[self.tasks[t].offering].relative_gain)
     }
 
-    /// A reader, or a mixed host for its share of tasks whole: those whose home it is, while its count is
-    /// alike to the fewest of all that write; or where no reader can read in time. By counts alone
-    /// dispatchers with little pending would all meet at the few mixed hosts.
+    /// The host and phase to start with: a reader, or a mixed host that does the task whole. The latter if it
+    /// is the task's preferred reader and its count ties with the lowest of all hosts that write, or if no
+    /// reader may be sent to. Without the first condition, dispatchers with few pending tokens would all pick
+    /// the few mixed hosts.
     fn pick_start(&mut self, t: usize) -> Option<(u32, Phase)> {
         let reader = self.pick_reader(t);
         let whole = self.pick_writer(t, Phase::Whole);
@@ -847,7 +904,8 @@
             let limit = self.update_pending_counts(t, Phase::Write) + self.tie_margin(t);
             is_within(self.pending_counts[*h as usize], limit)
         });
-        // Not where readers are only late: hundreds of dispatchers would carry a jam of theirs over at once.
+        // Not if readers are only late: hundreds of dispatchers would move the readers' overload to the other
+        // hosts at once.
         let fallback = whole.filter(|_| reader.is_none()).map(|h| (h, Phase::Whole));
         let candidates = [home_host.map(|h| (h, Phase::Whole)), reader.map(|h| (h, Phase::Read)), fallback];
         let pick = candidates.into_iter().flatten().find(|(h, _)| self.read_in_time(t, *h));
@@ -866,8 +924,9 @@
         self.terms.span("service.release_us").unwrap_or_default()
     }
 
-    /// What is held is released in the stated time also while an attempt is out that nothing has been heard of: it may
-    /// never have arrived. The attempt goes on: its writer may be slow, and what has arrived may run whatever is released.
+    /// Plans the release of a held state. It is released in time even if a shot is in flight from which
+    /// nothing has been heard: that may never have arrived. The shot is not cancelled: its writer may be
+    /// slow, and a shot that has arrived may run whatever is released.
     fn plan_release(&mut self, t: usize) {
         let (now, hold_limit) = (self.now, self.hold_limit());
         let Some(task) = self.tasks.get_mut(t).filter(|task| task.live) else { return };
@@ -876,7 +935,8 @@
         }
         let any_unanswered = task.desired.shot.is_some() || task.shots.iter().any(|shot| shot.in_flight);
         let Some(at) = task.held.release_at(hold_limit, any_unanswered) else { return };
-        // A state that waits for a writer is given up with its request; what may be left elsewhere hinders nothing.
+        // A state that waits for a writer is released when its task is given up. What may be left elsewhere
+        // does not hold the task up.
         let ends_with_request = task.held.reader().is_some() || task.ended;
         if !any_unanswered && ends_with_request {
             return;
@@ -893,8 +953,8 @@
         let Some(task) = self.tasks.get_mut(t).filter(|task| task.live) else { return };
         task.desired = DesiredState::default();
         if task.ended {
-            // Its client has left: what still waits or is read for it delays others. Holds against clients
-            // that leave before their time and ask again at once.
+            // The client has left: what still waits or is being read for it delays others. Holds against
+            // clients that leave before their time and repeat the request at once.
             let may_cancel = |shot: &Shot| shot.awaits_answer() && !shot.cancelled;
             task.desired.cancel = task.shots.iter().position(may_cancel).filter(|_| cancel);
             return;
@@ -909,7 +969,7 @@
         let repeat_barred = !task.shots_that_may_have_run().all(|shot| offering.may_repeat(shot, None, now));
         let too_late = now + Duration::from_secs_f64(0.5 * self.first_token_seconds[0]) >= deadline;
         let release_at = held_by.and_then(|_| task.held.release_at(hold_limit, false));
-        // One that was given up after it was written leaves its state to another writer for somewhat longer.
+        // If a writer was already tried and given up, the state stays for another writer somewhat longer.
         let writer_tried = task.shots.last().is_some_and(|shot| shot.may_have_run);
         let held_until = held_by.and_then(|_| task.held.release_at(hold_limit, writer_tried));
         let hold_expired = held_until.is_some_and(|at| at <= now);
@@ -926,7 +986,8 @@
             Some(_) => self.pick_writer(t, Phase::Write).map(|h| (h, Phase::Write)),
             None => self.pick_start(t),
         };
-        // A state that crosses links is overtaken by near ones, and would be fetched from nothing elsewhere.
+        // A state that crosses slow links is overtaken by near ones, and another writer would have to fetch
+        // it from the beginning: allow it more time.
         let (cell_of, [near, far]) = (|h: u32| self.hosts[h as usize].listed.cell, self.first_token_seconds);
         let expected = match (pick, held_by) {
             (Some((h, Phase::Read | Phase::Whole)), _) => self.expected_read_seconds(t, h),
@@ -938,14 +999,15 @@
         let task = &mut self.tasks[t];
         task.desired.keep_held = task.desired.end_with_bounce.is_none();
         if let Some((h, phase)) = pick {
-            // Silence costs a shot, not the task: four times what is expected, a quarter of the agreed time.
+            // Without this limit a silent host would cost the task, not just one shot: four times the
+            // expected time, at least a quarter of the agreed time.
             task.silence_limit =
                 Duration::from_secs_f64((4.0 * expected).max(0.25 * agreed_seconds).min(1e6));
             let until = if cancel { deadline } else { deadline.min(now + 6 * task.silence_limit) };
             task.desired.shot = Some((h, phase, until));
             task.desired.wake_at = Some(now + task.silence_limit).filter(|at| cancel && *at < deadline);
         } else if task.desired.end_with_bounce.is_none() {
-            // Nobody may be sent to for now: cold budgets fill, credit is earned.
+            // No host may be sent to now: try again as cold budgets fill and retry credit is earned.
             let wake_at = now + Duration::from_millis(10);
             if wake_at >= wait_until.min(deadline) {
                 return self.give_up(t);
@@ -954,11 +1016,13 @@
         }
     }
 
-    /// A shot is out. Hosts answer first come first: waiting at one that still works is no worse than anew
-    /// elsewhere. A shot is let go of where its host is gone from the list, has answered shots sent clearly
-    /// later, or has been silent three times as long while peers spoke (another's long prompt keeps a sound
-    /// reader silent). Holds against hung, cut off and dead hosts and those that lose a part or one offering
-    /// of their work; may hurt where traffic is thin or a host does not keep to the order.
+    /// Decides whether a shot in flight is cancelled. Hosts answer in the order of arrival, so waiting at a
+    /// host that still works is no worse than starting again elsewhere. A shot is cancelled if its host is
+    /// gone from the list, has answered shots that were sent clearly later, or has been silent three times as
+    /// long while peers answered (a sound reader may be silent for another's long prompt). Holds against
+    /// hosts that hang, are cut off or die, and those that fail for one part of their work or one offering
+    /// only. The cost: it may cancel too early where a role sees little traffic or a host does not keep to
+    /// the order.
     fn watch_shot(&mut self, t: usize, i: usize) {
         let (now, task) = (self.now, &self.tasks[t]);
         let (shot, silence_limit, deadline) = (task.shots[i], task.silence_limit, task.deadline);
@@ -966,7 +1030,7 @@
         let offering = &self.offerings[task.offering];
         let peer_answered =
             self.running_hosts(host.listed.role).any(|(_, peer)| peer.last_answer_at > shot.sent_at);
-        // While another writer can still fetch the state, silence is told sooner.
+        // While another writer can still fetch the state, a silent writer is given up sooner.
         let switch_at =
             task.held.switch_writer_at(self.hold_limit()).map(|at| at.max(shot.sent_at + silence_limit));
         let silent_at =
@@ -992,8 +1056,10 @@
         desired.wake_at = Some(next_check).filter(|at| *at < deadline && desired.cancel.is_none());
     }
 
-    /// The answer goes at once. A bounce says that a repeat is harmless: only where the effect rules agree.
-    /// What goes on with a lost answer is asked again with its earlier shot: harmless while that allows more.
+    /// Ends the task: rejects it at once with retry advice, or aborts it. A bounce tells the client that a
+    /// repeat is harmless, so it is sent only if the effect rules agree. A continued answer is repeated by
+    /// its client together with its earlier shot, which is harmless while that shot may be followed by
+    /// another.
     fn give_up(&mut self, t: usize) {
         let (now, task) = (self.now, &mut self.tasks[t]);
         let offering = &self.offerings[task.offering];
@@ -1008,13 +1074,14 @@
         };
     }
 
-    /// Emits the difference between what the task wants and what is out, held and timed.
+    /// Emits the difference between the desired state of a task and its shots in flight, held state and
+    /// timer.
     fn reconcile(&mut self, t: usize, out: &mut Vec<Action>) {
         let (now, task_id) = (self.now, t as u32);
         let Some(task) = self.tasks.get_mut(t).filter(|task| task.live) else { return };
         if let Some(retryable) = task.desired.end_with_bounce.take() {
             task.ended = true;
-            // A tenth to three tenths of the agreed time: spread, and the repeat may still be in time.
+            // A tenth to three tenths of the agreed time: spreads the repeats, and they may still be in time.
             let max_delay = self.terms.span("allowed.max_come_back_us").unwrap_or_default();
             let delay_seconds =
                 self.offerings[task.offering].agreed_seconds * (0.1 + 0.2 * self.random.next_unit());
@@ -1072,7 +1139,7 @@
         host.pending_read_tokens += shot.uncached_tokens;
         host.pending_stream_tokens += shot.stream_tokens;
         host.send_budget.level -= 1.0;
-        // The step after a read is no further shot; one after a failure is, and spends credit.
+        // Only a shot after a failure spends retry credit; the write after a read does not.
         host.retry_credit -= if is_retry { 1.0 } else { 0.0 };
         host.recent_read_tokens.add(now, 60.0, shot.uncached_tokens);
         out.push(Action::Send { task: task_id, host: h, until, begin_by });
@@ -1080,17 +1147,17 @@
 }
 
 impl Host {
-    /// A report of tokens to read tells for two seconds.
+    /// Tokens to read as last reported; a report is valid for two seconds.
     fn recent_report(&self, now: Duration) -> Option<f64> {
         self.reported_to_read.filter(|(at, _)| now - *at < Duration::from_secs(2)).map(|(_, tokens)| tokens)
     }
 
-    /// Suspicion fades in some four seconds, so that a host is tried again by and by.
+    /// Suspicion decays with a time constant of four seconds, so that the host is tried again.
     pub(crate) fn suspicion_at(&self, now: Duration) -> f64 {
         self.suspicion.decayed(now, 4.0)
     }
 
-    /// A prompt was read here, or not in so long.
+    /// Records a read that ended here, or one that had not ended after `seconds`.
     fn record_read(
         &mut self,
         now: Duration,
@@ -1110,12 +1177,13 @@
         );
     }
 
-    /// What is left of its answers' times: they are let go of in ten seconds, so that it is tried again.
+    /// Weight left of the read times recorded here: it decays with a time constant of ten seconds since the
+    /// last answer, so that a slow host is tried again.
     fn read_times_weight(&self, now: Duration) -> f64 {
         DecayingLevel { level: 1.0, updated_at: self.last_answer_at }.decayed(now, 10.0)
     }
 
-    /// An answer earns a fifth of a further shot, up to ten shots, and takes suspicion off.
+    /// Records an answer: it earns a fifth of a retry, up to ten retries, and reduces suspicion.
     fn record_answer(&mut self, now: Duration) {
         let suspicion = self.suspicion_at(now) * 0.6;
         self.suspicion.set(now, suspicion);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,10 +1,10 @@
-//! The state that the rules keep, and the plain helpers on it: no decision, no tuned value.
+//! The state that the rules keep, and plain helpers on it. The decisions are in [`crate::rules`].
 
 use crate::interface::{Belief, Key, Listed, Order, Standing, Terms};
-use crate::release::Held;
+use crate::release::HeldState;
 use std::time::Duration;
 
-/// PCG-XSH-RR 64/32 (O'Neill).
+/// Pseudo-random numbers: PCG-XSH-RR 64/32 (O'Neill).
 #[derive(Default)]
 pub(crate) struct Pcg32(pub(crate) u64);
 
@@ -15,19 +15,19 @@
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
     }
 
-    /// One step on: a start that differs from another in few bits gives as different numbers.
+    /// The generator one step on: seeds that differ in few bits then give unrelated numbers.
     pub(crate) fn advanced(mut self) -> Self {
         self.next_u32();
         self
     }
 
-    /// Above 0, up to 1.
+    /// Uniform, above 0 and up to 1.
     pub(crate) fn next_unit(&mut self) -> f64 {
         (f64::from(self.next_u32()) + 1.0) / 4_294_967_296.0
     }
 }
 
-/// A level that fades with time, by a factor of e each span of seconds.
+/// A level that decays exponentially: by a factor of e in each time constant, which is in seconds.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingLevel {
     pub(crate) level: f64,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Something spent over something done, both fading with each addition: long tasks weigh as they should.
+/// A ratio of two sums that both decay with each addition, so that large samples weigh in proportion.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingRatio {
     pub(crate) numerator: f64,
@@ -68,150 +68,185 @@
     }
 }
 
+/// A service class: what a task of it is worth, by when it should be answered and whether it may be repeated.
 pub(crate) struct Offering {
+    /// Agreed time to the first token: fixed, and for each prompt token.
     pub(crate) agreed_seconds: f64,
     pub(crate) agreed_seconds_per_token: f64,
+    /// Agreed pace of the tokens of an answer.
     pub(crate) output_seconds_per_token: f64,
     pub(crate) gain: f64,
-    /// Up to 1, for what comes first where not all can be done.
+    /// Gain over the highest gain of all offerings, up to 1: who comes first where not all can be served.
     pub(crate) relative_gain: f64,
-    /// Anything but replayable or referenced is taken for single-use.
+    /// Anything but `replayable` or `referenced` counts as single-use.
     pub(crate) effect: String,
+    /// Which hosts may repeat a referenced task (`all`, `zone` or `cell`), and for how long after the first shot.
     pub(crate) group: String,
     pub(crate) repeat_window: Duration,
 }
 
-/// What readers are thought to have kept of a session or a shared text, and which read it last.
+/// Which readers are believed to have a session or a shared text in their cache, and which read it last.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct CachedText {
     pub(crate) generation: u32,
     pub(crate) last_reader: Option<u32>,
-    /// Reader, tokens, when.
+    /// Reader, cached tokens, when they were read.
     pub(crate) readers: [(u32, u32, Duration); 4],
-    /// Tasks seen with it of late.
+    /// Tasks seen with it recently.
     pub(crate) recent_tasks: DecayingLevel,
 }
 
+/// A model server: its line of the list, and what this dispatcher has counted and measured there.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Host {
     pub(crate) listed: Listed,
-    /// When it is warm at the latest; zero for one that was warm when first heard of.
+    /// When the host is warm at the latest; zero if it was warm when first listed.
     pub(crate) warm_at: Duration,
-    /// Own tokens pending: prompts to read, and streams charged with prompt plus output.
+    /// Tokens of this dispatcher's own prompts that are still to be read there.
     pub(crate) pending_read_tokens: f64,
+    /// Tokens of its own streams there, prompt plus output each.
     pub(crate) pending_stream_tokens: f64,
     pub(crate) shots_in_flight: u32,
-    /// Last report of tokens to read or fetch, and of the share of memory held.
+    /// Last report of tokens to read or fetch, with its time.
     pub(crate) reported_to_read: Option<(Duration, f64)>,
+    /// Last report of the share of memory in use.
     pub(crate) reported_memory_share: f64,
+    /// How far the host is believed to be faulty, up to 1.
     pub(crate) suspicion: DecayingLevel,
+    /// Whether it was last noted as suspected.
     pub(crate) suspected: bool,
+    /// Retries that it may be sent; earned by answers.
     pub(crate) retry_credit: f64,
-    /// Seconds for each token to read; kept tokens found over those thought so.
+    /// Seconds spent on reads over tokens read.
     pub(crate) read_times: DecayingRatio,
-    /// Tokens sent here to be read of late.
+    /// Tokens sent here to be read recently.
     pub(crate) recent_read_tokens: DecayingLevel,
+    /// Cached tokens that reads found over those estimated.
     pub(crate) cache_hit_ratio: DecayingRatio,
+    /// When it last answered, or was first listed.
     pub(crate) last_answer_at: Duration,
-    /// When the latest shot went that it has answered.
+    /// When the latest of the shots that it has answered was sent.
     pub(crate) latest_answered_sent_at: Duration,
-    /// Of its cell: the part of its reads that has to leave it, and what each writer of it can take beyond.
+    /// The share of its cell's reads whose state has to leave the cell.
     pub(crate) remote_fetch_share: f64,
+    /// What it can write beyond the reads of its cell, as a share of all hosts' writing.
     pub(crate) spare_writer_share: f64,
-    /// Its part of the tasks as a home of texts, against a reader's.
+    /// Its weight as a home of sessions and texts; 1 for a reader.
     pub(crate) home_weight: f64,
-    /// Shots of the last half minute that it read or began to answer, and the cold budget left.
+    /// Shots of the last half minute that it read or began to answer.
     pub(crate) recent_starts: DecayingLevel,
+    /// Shots that it may still be sent while it is cold; does not decay.
     pub(crate) send_budget: DecayingLevel,
 }
 
+/// What a shot does for its task.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(crate) enum Phase {
+    /// Prefill: a reader reads the prompt and keeps the state.
     #[default]
     Read,
+    /// Decode: a writer fetches the state and streams the answer.
     Write,
+    /// Both at one host.
     Whole,
 }
 
+/// One attempt of a task at one host.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Shot {
     pub(crate) host: u32,
-    /// The host that it went to as it was listed then: its place may have a new owner by its end.
+    /// The host as it was listed when the shot was sent: its slot may have a new owner before the shot ends.
     pub(crate) listed: Listed,
     pub(crate) phase: Phase,
     pub(crate) sent_at: Duration,
-    /// Tokens to read, until read; tokens of the stream, until it ends; and all that were to be read before
-    /// it.
+    /// Prompt tokens to read, pending until read.
     pub(crate) uncached_tokens: f64,
+    /// Tokens of its stream, pending until it ends.
     pub(crate) stream_tokens: f64,
+    /// All tokens to be read at the host when it was sent, its own included.
     pub(crate) queue_tokens: f64,
+    /// Prompt tokens that the host was believed to have cached.
     pub(crate) estimated_cached_tokens: u32,
     pub(crate) in_flight: bool,
+    /// When its answer began.
     pub(crate) started_at: Option<Duration>,
     pub(crate) cancelled: bool,
     pub(crate) failed: bool,
     pub(crate) may_have_run: bool,
 }
 
-/// What should be out, held and timed for a task; and its answer (true: bounce, false: break-off).
+/// What a task needs next: a shot, a cancellation, a held state, a timer.
 #[derive(Default)]
 pub(crate) struct DesiredState {
+    /// A shot to send: host, phase, and until when it may run.
     pub(crate) shot: Option<(u32, Phase, Duration)>,
+    /// The number of the shot to cancel.
     pub(crate) cancel: Option<usize>,
+    /// The task ends: with a bounce (true), or it is aborted (false).
     pub(crate) end_with_bounce: Option<bool>,
+    /// A known state is kept, as a writer may still fetch it.
     pub(crate) keep_held: bool,
+    /// The time to hold states is over.
     pub(crate) release_due: bool,
+    /// When to look at the task again.
     pub(crate) wake_at: Option<Duration>,
 }
 
+/// One request of a client, from its order until nothing more is done for it.
 #[derive(Default)]
 pub(crate) struct Task {
     pub(crate) live: bool,
+    /// Counts the owners of this index, so that timers of an earlier one are ignored.
     pub(crate) generation: u32,
     pub(crate) order: Order,
     pub(crate) offering: usize,
-    /// Readers where its shared text is at home, the highest ranked first.
+    /// Hosts at which its shared text is at home, the highest ranked first.
     pub(crate) text_homes: [u32; 8],
-    /// Where its session is at home, where it is not known here.
+    /// The home of its session, if the session is not known here.
     pub(crate) session_home: Option<u32>,
     pub(crate) arrived_at: Duration,
+    /// When the first token is due as agreed.
     pub(crate) target_at: Duration,
+    /// When the client gives up.
     pub(crate) deadline: Duration,
+    /// Estimated length of the answer.
     pub(crate) output_tokens: f64,
     pub(crate) shots: Vec<Shot>,
-    /// Of what this task goes on with: the first that may have run.
+    /// The first shot that may have run of the lost answer that this task continues.
     pub(crate) prior_shot: Option<Shot>,
-    /// Hosts and the tokens of the prompt that they are told to hold.
+    /// Hosts and the tokens of the prompt that they are reported to hold.
     pub(crate) reported_cached: Option<Vec<(u32, u32)>>,
+    /// How long the latest shot may stay unanswered before its host is checked for silence.
     pub(crate) silence_limit: Duration,
     pub(crate) ended: bool,
-    pub(crate) held: Held,
-    /// How long it may wait for a start.
+    pub(crate) held: HeldState,
+    /// Until when the task may wait for a host that may be sent to.
     pub(crate) wait_until: Duration,
     pub(crate) timer_at: Option<Duration>,
     pub(crate) desired: DesiredState,
 }
 
 impl Task {
-    /// Tokens that a host is told to hold of the prompt; absent where nothing was told.
+    /// Tokens of the prompt that a host is reported to hold; absent if there was no report for this task.
     pub(crate) fn reported_cached_tokens(&self, h: u32) -> Option<u32> {
         let reported = self.reported_cached.as_ref()?.iter().find(|(host, _)| *host == h);
         Some(reported.map_or(0, |(_, tokens)| *tokens).min(self.order.prompt_tokens))
     }
 
-    /// Whether any host is told to hold half of the shared text or more.
+    /// Whether any host is reported to hold at least half of the shared text.
     pub(crate) fn is_shared_text_reported(&self) -> bool {
         let half = |(_, tokens): &(u32, u32)| 2 * tokens >= self.order.shared_tokens;
         self.reported_cached.as_ref().is_some_and(|reported| reported.iter().any(half))
     }
 
-    /// Whether a host has turned a shot of it away or failed a read, or the answer that it goes on with was there.
+    /// Whether a host has rejected a shot of this task or failed a read of it, or lost the answer that it
+    /// continues.
     pub(crate) fn avoids(&self, h: u32) -> bool {
         let failed = self.shots.iter().filter(|shot| shot.failed && !shot.may_have_run);
         self.prior_shot.iter().chain(failed).any(|shot| shot.host == h)
     }
 
-    /// All shots that may have run, the earlier one first.
+    /// All shots that may have run, the one of a continued answer first.
     pub(crate) fn shots_that_may_have_run(&self) -> impl Iterator<Item = &Shot> {
         self.prior_shot.iter().chain(&self.shots).filter(|shot| shot.may_have_run)
     }
@@ -221,7 +256,7 @@
     table.get(key?.place as usize).filter(|cached| Some(cached.generation) == key.map(|key| key.turn))
 }
 
-/// Tokens of a text that a host is thought to have kept since then.
+/// Tokens of a text that a host is believed to have cached, if it read them after `since`.
 pub(crate) fn cached_tokens_at(
     table: &[CachedText],
     key: Option<Key>,
@@ -232,7 +267,7 @@
     cached.map(|(_, tokens, _)| *tokens).filter(|tokens| *tokens > 0)
 }
 
-/// The hosts of the highest ranks, the highest first, as many as wanted; the rest is filled up with no host.
+/// The hosts of the highest ranks in falling order, as many as wanted; the rest is filled with `u32::MAX`.
 pub(crate) fn top_ranked(wanted: usize, ranked: impl Iterator<Item = (f64, u32)>) -> [u32; 8] {
     let (mut hosts, mut ranks) = ([u32::MAX; 8], [f64::NEG_INFINITY; 8]);
     for (rank, h) in ranked {
@@ -246,7 +281,7 @@
     hosts
 }
 
-/// The host that comes first: of those in the preferred set, if any, the one of the highest rank.
+/// The host of the highest rank among those with the preferred flag, or among all if none has it.
 pub(crate) fn best_ranked(ranked: impl Iterator<Item = (bool, f64, u32)>) -> Option<u32> {
     ranked.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|(.., h)| h)
 }
@@ -262,7 +297,7 @@
     cached
 }
 
-/// Counts one more task with the text; gives the count, faded over so many seconds.
+/// Counts one more task with the text; returns the decayed count.
 pub(crate) fn count_task(table: &mut Vec<CachedText>, key: Key, now: Duration, time_constant: f64) -> f64 {
     let cached = entry_of(table, key);
     cached.recent_tasks.add(now, time_constant, 1.0);
@@ -285,7 +320,7 @@
 }
 
 impl Shot {
-    /// Out, and not begun to be answered.
+    /// In flight, and its answer has not begun.
     pub(crate) fn awaits_answer(&self) -> bool {
         self.in_flight && self.started_at.is_none()
     }
@@ -297,50 +332,57 @@
     }
 }
 
-/// All that one dispatcher knows; what it does with it is in [`crate::rules`].
+/// All that one dispatcher knows. What it does with it is in [`crate::rules`].
 #[derive(Default)]
 pub struct Rules {
     pub(crate) now: Duration,
+    /// When the first event came.
     pub(crate) first_event_at: Option<Duration>,
+    /// A note about a host to be emitted with the current event.
     pub(crate) pending_note: Option<(u32, &'static str)>,
     pub(crate) random: Pcg32,
     pub(crate) terms: Terms,
     pub(crate) offerings: Vec<Offering>,
+    /// How many dispatchers share the hosts.
     pub(crate) dispatchers: f64,
     pub(crate) own_zone: u32,
     pub(crate) hosts: Vec<Host>,
     pub(crate) tasks: Vec<Task>,
-    /// What was told for the next order.
+    /// The cached tokens reported for the next order.
     pub(crate) next_reported_cached: Option<Vec<(u32, u32)>>,
+    /// By slot of the session or the shared text.
     pub(crate) session_caches: Vec<CachedText>,
     pub(crate) shared_text_caches: Vec<CachedText>,
-    /// Scratch for one pick.
+    /// Pending tokens for each host, for one pick; kept to reuse its memory.
     pub(crate) pending_counts: Vec<f64>,
-    /// By role, from when a list came or a host was cold last.
+    /// By role: shots a second to a warm host, and tasks a second. Updated with each list of hosts, and at
+    /// each pick while a host is cold.
     pub(crate) role_rates: [(f64, f64); 4],
+    /// Estimate of the upper quartile of prompt lengths.
     pub(crate) long_prompt_tokens: f64,
-    /// Seconds for each token to read, by role.
+    /// Seconds spent on reads over tokens read, by role.
     pub(crate) role_read_times: [DecayingRatio; 4],
-    /// Tokens that a reader was asked to read of late, on average; without bound where readers report.
+    /// Tokens that a reader was sent to read recently, on average; infinite if readers report theirs.
     pub(crate) mean_recent_read_tokens: f64,
     /// Tasks since a prompt was last sent to be read.
     pub(crate) tasks_since_read: u32,
     /// Tasks of the last half minute.
     pub(crate) recent_tasks: DecayingLevel,
-    /// Tokens to read that hosts reported of late, by role.
+    /// Tokens to read that hosts reported recently, by role.
     pub(crate) role_reported_to_read: [DecayingRatio; 4],
-    /// Seconds to a first token where the state stays in its cell, and where it leaves it.
+    /// Seconds to a first token if the state stays in its cell, and if it leaves it.
     pub(crate) first_token_seconds: [f64; 2],
-    /// Prompt tokens that were read anew over all prompt tokens; beyond shared texts, those that homes of sessions had
-    /// kept.
+    /// Prompt tokens that had to be read over all prompt tokens.
     pub(crate) uncached_ratio: DecayingRatio,
+    /// Beyond shared texts: tokens that the homes of sessions had cached over all prompt tokens.
     pub(crate) home_hit_ratio: DecayingRatio,
-    /// How much sooner than agreed a task should seem to come, by how many shots ran out of time.
+    /// By what factor expected times are raised when compared with the agreed time; rises with each shot that
+    /// runs out of time.
     pub(crate) safety_factor: f64,
 }
 
 impl Rules {
-    /// What is thought of a host now, for whoever compares that with what passes on the sockets.
+    /// What is believed of a host now, for comparison with what actually passes on the connections.
     pub fn belief(&self, h: u32, now: Duration) -> Option<Belief> {
         let host = self.hosts.get(h as usize).filter(|host| host.is_running() || host.shots_in_flight > 0)?;
         let (doubt, slow) = (host.suspicion_at(now), self.slowdown(h, Phase::Read));
