--- a/src/rules.rs
+++ b/src/rules.rs
@@ -59,7 +59,8 @@
 }
 
 impl Rules {
-    /// The rules of one dispatcher with the terms given at start; the seed makes its random choices repeatable.
+    /// The rules of one dispatcher with the terms given at start. The seed makes its random choices
+    /// repeatable.
     pub fn new(seed: u64, terms: &Terms) -> Self {
         let dispatchers = terms.number("dispatchers").unwrap_or(1.0).max(1.0);
         let offerings = (0..terms.entries("offerings").max(1)).map(|i| Self::offering(terms, i));
@@ -138,6 +139,7 @@
         }
     }
 
+    /// Takes a list of hosts, whole or in part, and plans all tasks anew.
     fn update_hosts(&mut self, whole: bool, listed: &[Listed], out: &mut Vec<Action>) {
         let now = self.now;
         self.update_role_rates();
@@ -185,6 +187,7 @@
         }
     }
 
+    /// Takes a new task; returns its index, as the next two functions do.
     fn admit(&mut self, order: &Order) -> u32 {
         let now = self.now;
         let t = order.task as usize;
@@ -238,6 +241,7 @@
         order.task
     }
 
+    /// The answer to a shot has begun: its prompt has been read and its state fetched.
     fn shot_started(&mut self, t: u32, shot: u32) -> u32 {
         let now = self.now;
         let Some(task) = self.tasks.get_mut(t as usize) else { return t };
@@ -264,6 +268,7 @@
         t
     }
 
+    /// A shot has ended: releases its pending tokens and updates what is known of its host.
     fn shot_closed(&mut self, closed: &Closed) -> u32 {
         let (now, t) = (self.now, closed.task);
         let Some(task) = self.tasks.get_mut(t as usize).filter(|task| task.live) else { return t };
@@ -505,6 +510,7 @@
         host.home_weight / -Pcg32(key.mark ^ host.listed.mark).advanced().next_unit().ln().min(-1e-12)
     }
 
+    /// Hosts of a role that may be sent to as the list has it.
     fn running_hosts(&self, role: Role) -> impl Iterator<Item = (u32, &Host)> {
         (0..).zip(&self.hosts).filter(move |(_, host)| host.is_running() && host.listed.role == role)
     }
@@ -627,6 +633,7 @@
         f64::max(far - near, 0.0) / agreed_seconds
     }
 
+    /// Expected seconds from the end of a read at this host to the first token.
     fn expected_first_token(&self, h: u32) -> f64 {
         let ([near, far], remote_share) =
             (self.first_token_seconds, self.hosts[h as usize].remote_fetch_share);
@@ -839,6 +846,7 @@
         ranked.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|(.., h)| h)
     }
 
+    /// Expected seconds until a read begun now at this host ends, the wait included.
     fn expected_read_seconds(&self, t: usize, h: u32) -> f64 {
         self.seconds_per_read_token(h)
             * (self.queued_tokens(h) + self.uncached_tokens(t, h) + READ_OVERHEAD_TOKENS)
@@ -851,9 +859,9 @@
     fn read_in_time(&self, t: usize, h: u32) -> bool {
         let (now, task, host) = (self.now, &self.tasks[t], &self.hosts[h as usize]);
         let seconds_left = task.target_at.min(task.deadline).saturating_sub(now).as_secs_f64();
-        let top = self.offerings.iter().max_by(|a, b| a.gain.total_cmp(&b.gain));
-        let max_wait = top.map_or(f64::INFINITY, |top| {
-            0.5 * top.agreed_seconds * self.offerings[task.offering].relative_gain
+        let best_offering = self.offerings.iter().max_by(|a, b| a.gain.total_cmp(&b.gain));
+        let max_wait = best_offering.map_or(f64::INFINITY, |best_offering| {
+            0.5 * best_offering.agreed_seconds * self.offerings[task.offering].relative_gain
         });
         // Old, bad figures must not block all reads for good: one task in twelve is sent as a trial. One at a
         // time, as the trials of hundreds of dispatchers would keep an overload going, and not for impatient
@@ -861,10 +869,10 @@
         let trial = self.tasks_since_read >= 12
             && seconds_left > 0.5 * self.offerings[task.offering].agreed_seconds
             && self.running_hosts(host.listed.role).all(|(_, peer)| peer.pending_read_tokens <= 0.0);
-        let in_turn = task.shots_that_may_have_run().next().is_some()
+        let may_queue = task.shots_that_may_have_run().next().is_some()
             || self.seconds_per_read_token(h) * self.queued_tokens(h) < max_wait;
         trial
-            || (in_turn
+            || (may_queue
                 && (self.expected_read_seconds(t, h) + self.expected_first_token(h)) * self.safety_factor
                     < seconds_left)
     }
@@ -878,17 +886,18 @@
     /// for. There, late first tokens show the overload (`read_in_time`).
     fn has_writer_capacity(&self, t: usize) -> bool {
         let writers = self.running_hosts(Role::Writer).chain(self.running_hosts(Role::Mixed));
-        let stream =
+        let stream_of_all =
             (f64::from(self.tasks[t].order.prompt_tokens) + self.tasks[t].output_tokens) * self.dispatchers;
         // A host lost without notice counts less, the more it is suspected.
         let memory =
             |host: &Host| host.listed.memory_tokens.unwrap_or(0.0) * (1.0 - host.suspicion_at(self.now));
-        let (held, memory) = writers.fold((0.0, 0.0), |sum, (_, host)| {
-            let too_coarse = stream > host.listed.memory_tokens.unwrap_or(0.0);
-            let own = if too_coarse { 0.0 } else { host.pending_stream_tokens * self.dispatchers };
-            (sum.0 + own.max(host.reported_memory_share * memory(host)), sum.1 + memory(host))
+        let (held_tokens, memory) = writers.fold((0.0, 0.0), |sum, (_, host)| {
+            let too_coarse = stream_of_all > host.listed.memory_tokens.unwrap_or(0.0);
+            let own_streams = if too_coarse { 0.0 } else { host.pending_stream_tokens * self.dispatchers };
+            (sum.0 + own_streams.max(host.reported_memory_share * memory(host)), sum.1 + memory(host))
         });
-        memory == 0.0 || held <= memory * (1.0 + 0.25 * self.offerings[self.tasks[t].offering].relative_gain)
+        memory == 0.0
+            || held_tokens <= memory * (1.0 + 0.25 * self.offerings[self.tasks[t].offering].relative_gain)
     }
 
     /// The host and phase to start with: a reader, or a mixed host that does the task whole. The latter if it
@@ -915,11 +924,13 @@
         pick
     }
 
+    /// Sets what a task needs next, for `reconcile`.
     fn plan(&mut self, t: usize) {
         self.plan_attempts(t);
         self.plan_release(t);
     }
 
+    /// How long a state may be held while no attempt is at a server.
     fn hold_limit(&self) -> Duration {
         self.terms.span("service.release_us").unwrap_or_default()
     }
@@ -947,6 +958,7 @@
         }
     }
 
+    /// Plans the next shot, a cancellation, a wait or the end of the task.
     fn plan_attempts(&mut self, t: usize) {
         let (now, cancel) = (self.now, self.terms.flag("allowed.cancel"));
         let hold_limit = self.hold_limit();
--- a/tests/desk/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A dispatcher's rules on a desk: events in, actions out.
-#![allow(dead_code)] // each test file uses its part
+//! Runs one dispatcher's rules without a network: events in, actions out.
+#![allow(dead_code)] // each test file uses some of these helpers
 
 use std::time::Duration;
 use tulipstall::Rules;
@@ -16,16 +16,16 @@
     Duration::from_millis(ms)
 }
 
-/// A dispatcher under test, its hosts, and what it asked for last.
-pub struct Desk {
+/// A dispatcher's rules under test, its hosts, and the offering of the orders it is sent.
+pub struct Harness {
     pub rules: Rules,
     pub hosts: Vec<Listed>,
     pub offering: u32,
 }
 
-impl Desk {
-    /// `hosts` gives each host's role and cell.
-    pub fn new(extra: &[(&str, &str)], hosts: &[(Role, u32)]) -> Desk {
+impl Harness {
+    /// `extra` overrides terms; `hosts` gives each host's role and cell.
+    pub fn new(extra: &[(&str, &str)], hosts: &[(Role, u32)]) -> Harness {
         let base = "dispatchers=2 offerings.0.agreed_time_us=1500000 offerings.0.gain=1 \
             offerings.0.effect=replayable \
             offerings.0.group=all offerings.0.window_us=5000000 service.token_pace_us.0=60000 \
@@ -55,24 +55,33 @@
             standing: Standing::Running,
         };
         let hosts: Vec<Listed> = hosts.iter().enumerate().map(listed).collect();
-        let mut desk = Desk { rules: Rules::new(7, &terms), hosts, offering: 0 };
-        desk.tell(0, Event::Hosts { whole: true, listed: desk.hosts.clone() });
-        desk
+        let mut harness = Harness { rules: Rules::new(7, &terms), hosts, offering: 0 };
+        harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
+        harness
     }
 
-    pub fn tell(&mut self, at: u64, event: Event) -> Vec<Action> {
+    /// Passes an event to the rules at a time in milliseconds; returns the actions.
+    pub fn on_event(&mut self, at: u64, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.rules.on(ms(at), &event, &mut out);
         out
     }
 
-    pub fn list(&mut self, at: u64, host: u32, standing: Standing, up_for: Option<Duration>) -> Vec<Action> {
+    /// A list with one host, with this standing and age.
+    pub fn list_host(
+        &mut self,
+        at: u64,
+        host: u32,
+        standing: Standing,
+        up_for: Option<Duration>,
+    ) -> Vec<Action> {
         let line = Listed { standing, up_for, ..self.hosts[host as usize] };
-        self.tell(at, Event::Hosts { whole: false, listed: vec![line] })
+        self.on_event(at, Event::Hosts { whole: false, listed: vec![line] })
     }
 
-    pub fn order(&mut self, at: u64, task: u32, session: u32, prompt_tokens: u32) -> Vec<Action> {
-        // Marks are hashes of names: those of two sessions have nothing in common.
+    /// An order without a shared text, by a client that waits 4 s.
+    pub fn send_order(&mut self, at: u64, task: u32, session: u32, prompt_tokens: u32) -> Vec<Action> {
+        // The hash of a name, so that sessions have unrelated hashes.
         let mark = tulipstall::door::mark(&format!("session {session}"));
         let session = Some(Key { place: session, turn: 1, mark });
         let order = Order {
@@ -89,31 +98,39 @@
             again: false,
             ran: None,
         };
-        self.tell(at, Event::Order(order))
+        self.on_event(at, Event::Order(order))
     }
 
-    pub fn close(&mut self, at: u64, task: u32, shot: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn close_shot(&mut self, at: u64, task: u32, shot: u32, outcome: Outcome) -> Vec<Action> {
         let finished = outcome == Delivered;
         let closed = Closed { task, shot, outcome, finished, kept_tokens: 0, load: None };
-        self.tell(at, Event::Closed(closed))
+        self.on_event(at, Event::Closed(closed))
     }
 
-    /// A task read and answered; the reader and the writer it went to.
-    pub fn serve(&mut self, at: u64, task: u32, session: u32, prompt: u32) -> (Option<u32>, Option<u32>) {
-        let reader = sent(&self.order(at, task, session, prompt));
-        let writer = sent(&self.close(at + 30, task, 0, Read));
-        self.tell(at + 40, Event::Started { task, shot: 1 });
-        self.close(at + 45, task, 1, Delivered);
+    /// Has a task read and answered; returns the reader and the writer that it went to.
+    pub fn serve_task(
+        &mut self,
+        at: u64,
+        task: u32,
+        session: u32,
+        prompt: u32,
+    ) -> (Option<u32>, Option<u32>) {
+        let reader = sent_host(&self.send_order(at, task, session, prompt));
+        let writer = sent_host(&self.close_shot(at + 30, task, 0, Read));
+        self.on_event(at + 40, Event::Started { task, shot: 1 });
+        self.close_shot(at + 45, task, 1, Delivered);
         (reader, writer)
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<u32> {
+/// The host of the first shot among the actions.
+pub fn sent_host(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| if let Action::Send { host, .. } = action { Some(*host) } else { None })
 }
 
-/// The answer and the release among the actions, as letters: B bounce, X break-off, R release, S send.
-pub fn letters(actions: &[Action]) -> String {
+/// The final answer, releases and sends among the actions, as sorted letters: B bounce, X abort, R release, S
+/// send.
+pub fn action_letters(actions: &[Action]) -> String {
     let letter = |action: &Action| match action {
         Action::Bounce { .. } => Some('B'),
         Action::BreakOff { .. } => Some('X'),
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,20 +1,21 @@
-//! A cold host's ramp holds for the fleet: what all dispatchers send it, each by its own rules and none with a word from
-//! another, is summed over every span of the fall time.
+//! A cold host's send budget holds for all dispatchers together. Each decides by its own rules without any
+//! communication; their shots are summed over every span of the fall time.
 
-mod desk;
+mod harness;
 
-use desk::*;
+use harness::*;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{Event, Standing};
 
-/// What settings allow: a host falls over this many times what it can do, for so long, and starts at that part.
-const MULTIPLE: f64 = 2.5;
+/// A cold host falls over if it gets this multiple of what it can do, for the fall time.
+const FALL_MULTIPLE: f64 = 2.5;
+/// The share of a warm host's work that a host can do when it starts.
 const COLD_FROM: f64 = 0.3;
 
-struct Chance(u64);
+struct Random(u64);
 
-impl Chance {
-    fn part(&mut self) -> f64 {
+impl Random {
+    fn next_unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         ((self.0 >> 33) as f64 + 1.0) / (1_u64 << 31) as f64
     }
@@ -23,79 +24,88 @@
 #[derive(Clone, Copy, Debug)]
 struct Case {
     processes: u64,
-    /// Tasks a second for each host of the step, in all.
+    /// Tasks a second for each host of the step, from all processes together.
     rate: f64,
-    /// Each process sees so many times what the next one does, in a row of eight.
+    /// Each process sees this multiple of the next one's tasks, in rows of eight.
     skew: f64,
-    /// Seven in ten processes start anew half a second after the host.
+    /// Seven in ten processes restart half a second after the host.
     restart: bool,
-    /// So many times the tasks in the two seconds from a second after the host on.
+    /// Multiplies the tasks from one second to three seconds after the host's start.
     burst: f64,
     fall_ms: u64,
 }
 
-const WARM_SECONDS: u64 = 30;
-const SECONDS: u64 = 40;
-const HOSTS: u64 = 10;
+const STEADY_SECONDS: u64 = 30;
+const TOTAL_SECONDS: u64 = 40;
+const HOSTS_PER_ROLE: u64 = 10;
 
-/// When the cold host, the first reader or the first writer, is sent something, by all processes.
-fn sends(case: Case, writer: bool, seed: u64) -> Vec<u64> {
+/// When the cold host, the first reader or the first writer, is sent a shot, by all processes.
+fn cold_host_sends(case: Case, writer: bool, seed: u64) -> Vec<u64> {
     let mut all = Vec::new();
     let weights: Vec<f64> = (0..case.processes).map(|me| case.skew.powi((me % 8) as i32)).collect();
     let sum: f64 = weights.iter().sum();
-    let cold = if writer { HOSTS as u32 } else { 0 };
-    let fleet = [[(READER, 0); HOSTS as usize], [(WRITER, 0); HOSTS as usize]].concat();
+    let cold = if writer { HOSTS_PER_ROLE as u32 } else { 0 };
+    let fleet = [[(READER, 0); HOSTS_PER_ROLE as usize], [(WRITER, 0); HOSTS_PER_ROLE as usize]].concat();
     for me in 0..case.processes {
-        let (own, n, fall) = (me.to_string(), case.processes.to_string(), (case.fall_ms * 1000).to_string());
-        let extra = [("dispatchers", n.as_str()), ("me", own.as_str()), ("rules.fall_us", fall.as_str())];
-        let mut chance = Chance(seed ^ (me * 977 + 13));
-        chance.part();
-        let mut desk = Desk::new(&extra, &fleet);
-        let rate = case.rate * HOSTS as f64 * weights[me as usize] / sum;
-        let born = WARM_SECONDS * 1000;
-        let told = born + (chance.part() * 300.0) as u64;
-        let anew = born + 500 + (chance.part() * 300.0) as u64;
-        let mut anew = (case.restart && me % 10 < 7).then_some(anew);
-        let (mut told, mut at, mut i, mut since) = (Some(told), 0.0, 0_u32, 0);
-        while at < (SECONDS * 1000) as f64 {
-            let burst = (born + 1000..born + 3000).contains(&(at as u64));
-            at += -chance.part().ln() * 1000.0 / (rate * if burst { case.burst } else { 1.0 });
+        let (own_index, dispatchers, fall) =
+            (me.to_string(), case.processes.to_string(), (case.fall_ms * 1000).to_string());
+        let extra = [
+            ("dispatchers", dispatchers.as_str()),
+            ("me", own_index.as_str()),
+            ("rules.fall_us", fall.as_str()),
+        ];
+        let mut random = Random(seed ^ (me * 977 + 13));
+        random.next_unit();
+        let mut harness = Harness::new(&extra, &fleet);
+        let rate = case.rate * HOSTS_PER_ROLE as f64 * weights[me as usize] / sum;
+        let host_started = STEADY_SECONDS * 1000;
+        let list_at = host_started + (random.next_unit() * 300.0) as u64;
+        let restart_at = host_started + 500 + (random.next_unit() * 300.0) as u64;
+        let mut restart_at = (case.restart && me % 10 < 7).then_some(restart_at);
+        let (mut list_at, mut at, mut i, mut restarted_at) = (Some(list_at), 0.0, 0_u32, 0);
+        while at < (TOTAL_SECONDS * 1000) as f64 {
+            let burst = (host_started + 1000..host_started + 3000).contains(&(at as u64));
+            at += -random.next_unit().ln() * 1000.0 / (rate * if burst { case.burst } else { 1.0 });
             let now = at as u64;
-            if let Some(born_told) = told.filter(|told| *told <= now) {
-                desk.list(born_told, cold, Standing::Running, Some(ms(born_told - born)));
-                told = None;
+            if let Some(list_time) = list_at.filter(|list_at| *list_at <= now) {
+                harness.list_host(list_time, cold, Standing::Running, Some(ms(list_time - host_started)));
+                list_at = None;
             }
-            if anew.is_some_and(|anew| anew <= now) {
-                (anew, since) = (None, now);
-                desk = Desk::new(&extra, &fleet);
-                let listed = desk.hosts.iter().enumerate().map(|(h, line)| {
-                    let up_for = (h as u32 == cold).then(|| ms(now - born));
+            if restart_at.is_some_and(|restart_at| restart_at <= now) {
+                (restart_at, restarted_at) = (None, now);
+                harness = Harness::new(&extra, &fleet);
+                let listed = harness.hosts.iter().enumerate().map(|(h, line)| {
+                    let up_for = (h as u32 == cold).then(|| ms(now - host_started));
                     tulipstall::interface::Listed { up_for, ..*line }
                 });
                 let listed = listed.collect();
-                desk.tell(0, Event::Hosts { whole: true, listed });
+                harness.on_event(0, Event::Hosts { whole: true, listed });
             }
             i += 1;
-            let (on_desk, session) = (now - since, me as u32 * 37 + i);
-            let reader = sent(&desk.order(on_desk, i % 64, session, 1000));
+            let (own_now, session) = (now - restarted_at, me as u32 * 37 + i);
+            let reader = sent_host(&harness.send_order(own_now, i % 64, session, 1000));
             let Some(reader) = reader else { continue };
-            let to = if writer { sent(&desk.close(on_desk + 30, i % 64, 0, Read)) } else { Some(reader) };
+            let to = if writer {
+                sent_host(&harness.close_shot(own_now + 30, i % 64, 0, Read))
+            } else {
+                Some(reader)
+            };
             all.extend(to.filter(|to| *to == cold).map(|_| now));
             if !writer {
-                desk.close(on_desk + 30, i % 64, 0, Read);
+                harness.close_shot(own_now + 30, i % 64, 0, Read);
             }
-            desk.tell(on_desk + 40, Event::Started { task: i % 64, shot: 1 });
-            desk.close(on_desk + 45, i % 64, 1, Delivered);
+            harness.on_event(own_now + 40, Event::Started { task: i % 64, shot: 1 });
+            harness.close_shot(own_now + 45, i % 64, 1, Delivered);
         }
     }
     all.sort_unstable();
-    all.into_iter().filter(|at| *at >= WARM_SECONDS * 1000).collect()
+    all.into_iter().filter(|at| *at >= STEADY_SECONDS * 1000).collect()
 }
 
-/// Budgets by what a warm host bears: for the first of the warm-up, when the host does least, no span of the fall time has
-/// more than the budget's calls and chance, and the budget is used.
+/// The budget follows from what a warm host gets. At the start of the warm-up, when the host can do least, no
+/// span of the fall time may have more shots than the budget and chance allow, and the budget has to be used.
 #[test]
-fn what_all_send_a_cold_host_stays_under_its_budget() {
+fn all_dispatchers_together_keep_within_a_cold_hosts_budget() {
     let case =
         |processes, rate, skew, restart, burst| Case { processes, rate, skew, restart, burst, fall_ms: 3000 };
     let mut cases = Vec::new();
@@ -113,11 +123,11 @@
     let mut failed = Vec::new();
     for case in cases {
         for writer in [false, true] {
-            let sends = sends(case, writer, 5);
-            let budget = MULTIPLE * COLD_FROM * case.rate * case.fall_ms as f64 / 1000.0;
+            let sends = cold_host_sends(case, writer, 5);
+            let budget = FALL_MULTIPLE * COLD_FROM * case.rate * case.fall_ms as f64 / 1000.0;
             let most = budget + 2.0 * budget.sqrt() + 2.0;
-            // All of it before the host is warm.
-            let early = || sends.iter().filter(|at| **at + case.fall_ms <= (WARM_SECONDS + 10) * 1000);
+            // Spans that end before the host is warm.
+            let early = || sends.iter().filter(|at| **at + case.fall_ms <= (STEADY_SECONDS + 10) * 1000);
             let within =
                 |from: u64| sends.iter().filter(|at| (from..from + case.fall_ms).contains(*at)).count();
             let found = early().map(|from| within(*from)).max().unwrap_or(0);
@@ -127,12 +137,12 @@
                 "{case:?} writer {writer}: at most {found} where {most:.1} may be, {used:.2} of the budget used"
             );
             worst = worst.max((found as f64 - budget) / budget.sqrt().max(1.0));
-            let leaves_it = !case.restart && budget > 20.0 && used < 0.4;
-            if found as f64 > most || leaves_it {
+            let leaves_budget_unused = !case.restart && budget > 20.0 && used < 0.4;
+            if found as f64 > most || leaves_budget_unused {
                 failed.push(format!("{case:?}, writer {writer}: {found} of {most:.1}, {used:.2} used"));
             }
         }
     }
-    println!("{worst:.2} roots over the budget at most");
+    println!("at most {worst:.2} square roots of the budget above it");
     assert!(failed.is_empty(), "{failed:#?}");
 }
