--- a/src/rules.rs
+++ b/src/rules.rs
@@ -7,8 +7,8 @@
 //! compares that with its shots in flight, held state and timer, and emits the difference.
 //!
 //! Terms used below: the pending tokens of a host are its load as one dispatcher counts it. Dispatchers do
-//! not communicate, so each sees only its own part. The home of a session or a shared text is a host picked
-//! by rendezvous hashing, so that all dispatchers send it to the same host. A cold host is one that has just
+//! not communicate, so each sees only its own part. The homes of a session or a shared text are hosts picked
+//! by rendezvous hashing, so that all dispatchers send it to the same ones. A cold host is one that has just
 //! started and is ramped up by a send budget. `t` is the index of a task, `h` that of a host.
 
 use crate::interface::{
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes a list of hosts, whole or in part, and plans all tasks anew.
+    /// Applies a list of hosts, whole or in part, and plans all tasks again.
     fn update_hosts(&mut self, whole: bool, listed: &[Listed], out: &mut Vec<Action>) {
         let now = self.now;
         self.update_role_rates();
@@ -241,7 +241,7 @@
         order.task
     }
 
-    /// The answer to a shot has begun: its prompt has been read and its state fetched.
+    /// Records that the answer to a shot has begun: its prompt has been read and its state fetched.
     fn shot_started(&mut self, t: u32, shot: u32) -> u32 {
         let now = self.now;
         let Some(task) = self.tasks.get_mut(t as usize) else { return t };
@@ -268,7 +268,7 @@
         t
     }
 
-    /// A shot has ended: releases its pending tokens and updates what is known of its host.
+    /// Records the end of a shot: removes its pending tokens and updates what is known of its host.
     fn shot_closed(&mut self, closed: &Closed) -> u32 {
         let (now, t) = (self.now, closed.task);
         let Some(task) = self.tasks.get_mut(t as usize).filter(|task| task.live) else { return t };
