--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,89 +1,100 @@
-//! Message bodies: by length, chunked, or until the connection ends (RFC 9112 sections 6 and 7).
+//! Message bodies, delimited by length, by chunked coding or by the end of the connection (RFC 9112 sections 6 and 7).
 
-/// A chunk's size line with its extensions; longer ones are refused. Sizes are 16 digits at most.
-const SIZE_LINE: usize = 256;
-/// All trailer lines together.
-const TRAILERS: usize = 4096;
+/// Maximum length of a chunk's size line with its extensions; longer lines are rejected. The size itself has at most
+/// 16 digits.
+const MAX_SIZE_LINE_BYTES: usize = 256;
+/// Maximum length of all trailer lines together.
+const MAX_TRAILER_BYTES: usize = 4096;
 
+/// Why a body cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyFault {
-    /// More bytes than the limit, by length or by what came.
+pub enum BodyError {
+    /// The declared length or the received data exceeds the limit.
     TooLong,
-    /// The chunked coding is broken.
+    /// The chunked coding is invalid.
     Malformed,
 }
 
+/// What the chunked decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     Size,
+    /// Data bytes left in the current chunk.
     Data(u64),
+    /// The CR LF after a chunk's data.
     DataEnd,
+    /// A trailer line; holds the bytes that all further trailer lines may take.
     Trailer(usize),
 }
 
-/// What is still to come of a body.
+/// Incremental decoder of one message body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Body {
-    form: Form,
-    /// Bytes that may still come.
-    room: u64,
+pub struct BodyDecoder {
+    framing: Framing,
+    /// How many more body bytes the limit allows, for chunked and connection-delimited bodies.
+    remaining_limit: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
+enum Framing {
     Length(u64),
-    Chunked(Chunk),
+    Chunked(ChunkState),
     UntilClose,
     Done,
 }
 
-impl Body {
+impl BodyDecoder {
     pub fn none() -> Self {
-        Body { form: Form::Done, room: 0 }
+        BodyDecoder { framing: Framing::Done, remaining_limit: 0 }
     }
 
-    pub fn length(bytes: u64, limit: u64) -> Result<Self, BodyFault> {
-        let form = if bytes == 0 { Form::Done } else { Form::Length(bytes) };
-        if bytes > limit { Err(BodyFault::TooLong) } else { Ok(Body { form, room: limit }) }
+    pub fn length(bytes: u64, limit: u64) -> Result<Self, BodyError> {
+        let framing = if bytes == 0 { Framing::Done } else { Framing::Length(bytes) };
+        if bytes > limit {
+            Err(BodyError::TooLong)
+        } else {
+            Ok(BodyDecoder { framing, remaining_limit: limit })
+        }
     }
 
     pub fn chunked(limit: u64) -> Self {
-        Body { form: Form::Chunked(Chunk::Size), room: limit }
+        BodyDecoder { framing: Framing::Chunked(ChunkState::Size), remaining_limit: limit }
     }
 
     pub fn until_close(limit: u64) -> Self {
-        Body { form: Form::UntilClose, room: limit }
+        BodyDecoder { framing: Framing::UntilClose, remaining_limit: limit }
     }
 
-    pub fn done(&self) -> bool {
-        self.form == Form::Done
+    pub fn is_done(&self) -> bool {
+        self.framing == Framing::Done
     }
 
-    /// Whether an end of the connection here ends the body in good order.
+    /// Whether the body is complete if the connection ends now.
     pub fn ends_with_connection(&self) -> bool {
-        matches!(self.form, Form::Done | Form::UntilClose)
+        matches!(self.framing, Framing::Done | Framing::UntilClose)
     }
 
-    /// Moves what `bytes` holds of the body to `out`; gives how many bytes were used.
-    pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, BodyFault> {
+    /// Appends the body data in `bytes` to `out` and returns how many input bytes were consumed.
+    pub fn decode(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, BodyError> {
         let mut at = 0;
         while at < bytes.len() {
             let rest = &bytes[at..];
-            match self.form {
-                Form::Done => break,
-                Form::Length(left) => {
+            match self.framing {
+                Framing::Done => break,
+                Framing::Length(left) => {
                     let part = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                     out.extend_from_slice(&rest[..part]);
                     at += part;
                     let left = left - part as u64;
-                    self.form = if left == 0 { Form::Done } else { Form::Length(left) };
+                    self.framing = if left == 0 { Framing::Done } else { Framing::Length(left) };
                 }
-                Form::UntilClose => {
-                    self.room = self.room.checked_sub(rest.len() as u64).ok_or(BodyFault::TooLong)?;
+                Framing::UntilClose => {
+                    self.remaining_limit =
+                        self.remaining_limit.checked_sub(rest.len() as u64).ok_or(BodyError::TooLong)?;
                     out.extend_from_slice(rest);
                     at += rest.len();
                 }
-                Form::Chunked(chunk) => match self.chunk(chunk, rest, out)? {
+                Framing::Chunked(state) => match self.decode_chunk(state, rest, out)? {
                     0 => break,
                     used => at += used,
                 },
@@ -92,58 +103,66 @@
         Ok(at)
     }
 
-    /// One step of the chunked coding; 0 where more bytes are needed.
-    fn chunk(&mut self, chunk: Chunk, rest: &[u8], out: &mut Vec<u8>) -> Result<usize, BodyFault> {
-        let line = |limit: usize| match rest.windows(2).position(|two| two == b"\r\n") {
+    /// Decodes one element of the chunked coding. Returns the number of bytes consumed, 0 if more bytes are needed.
+    fn decode_chunk(
+        &mut self,
+        state: ChunkState,
+        rest: &[u8],
+        out: &mut Vec<u8>,
+    ) -> Result<usize, BodyError> {
+        let line = |limit: usize| match rest.windows(2).position(|pair| pair == b"\r\n") {
             Some(end) if end <= limit => {
-                // A bare LF inside the line is how smuggling starts.
+                // Parsers disagree on a bare LF or CR inside the line, which allows request smuggling.
                 if rest[..end].iter().any(|b| matches!(b, b'\n' | b'\r')) {
-                    return Err(BodyFault::Malformed);
+                    return Err(BodyError::Malformed);
                 }
                 Ok(Some(&rest[..end]))
             }
             None if rest.len() <= limit + 1 && !rest.contains(&b'\n') => Ok(None),
-            _ => Err(BodyFault::Malformed),
+            _ => Err(BodyError::Malformed),
         };
-        let (next, used) = match chunk {
-            Chunk::Size => {
-                let Some(line) = line(SIZE_LINE)? else { return Ok(0) };
+        let (next, used) = match state {
+            ChunkState::Size => {
+                let Some(line) = line(MAX_SIZE_LINE_BYTES)? else { return Ok(0) };
                 let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
                 let extension = line.get(digits).is_none_or(|b| *b == b';');
                 if digits == 0 || digits > 16 || !extension {
-                    return Err(BodyFault::Malformed);
+                    return Err(BodyError::Malformed);
                 }
-                let text = std::str::from_utf8(&line[..digits]).map_err(|_| BodyFault::Malformed)?;
-                let size = u64::from_str_radix(text, 16).map_err(|_| BodyFault::Malformed)?;
-                self.room = self.room.checked_sub(size).ok_or(BodyFault::TooLong)?;
-                (if size == 0 { Chunk::Trailer(TRAILERS) } else { Chunk::Data(size) }, line.len() + 2)
+                let text = std::str::from_utf8(&line[..digits]).map_err(|_| BodyError::Malformed)?;
+                let size = u64::from_str_radix(text, 16).map_err(|_| BodyError::Malformed)?;
+                self.remaining_limit = self.remaining_limit.checked_sub(size).ok_or(BodyError::TooLong)?;
+                (
+                    if size == 0 { ChunkState::Trailer(MAX_TRAILER_BYTES) } else { ChunkState::Data(size) },
+                    line.len() + 2,
+                )
             }
-            Chunk::Data(left) => {
+            ChunkState::Data(left) => {
                 let part = rest.len().min(usize::try_from(left).unwrap_or(usize::MAX));
                 out.extend_from_slice(&rest[..part]);
                 let left = left - part as u64;
-                (if left == 0 { Chunk::DataEnd } else { Chunk::Data(left) }, part)
+                (if left == 0 { ChunkState::DataEnd } else { ChunkState::Data(left) }, part)
             }
-            Chunk::DataEnd => match rest {
-                [b'\r', b'\n', ..] => (Chunk::Size, 2),
+            ChunkState::DataEnd => match rest {
+                [b'\r', b'\n', ..] => (ChunkState::Size, 2),
                 [b'\r'] => return Ok(0),
-                _ => return Err(BodyFault::Malformed),
+                _ => return Err(BodyError::Malformed),
             },
-            Chunk::Trailer(room) => {
-                let Some(line) = line(room.min(SIZE_LINE))? else { return Ok(0) };
+            ChunkState::Trailer(allowed) => {
+                let Some(line) = line(allowed.min(MAX_SIZE_LINE_BYTES))? else { return Ok(0) };
                 if line.is_empty() {
-                    self.form = Form::Done;
+                    self.framing = Framing::Done;
                     return Ok(2);
                 }
-                (Chunk::Trailer(room.saturating_sub(line.len() + 2)), line.len() + 2)
+                (ChunkState::Trailer(allowed.saturating_sub(line.len() + 2)), line.len() + 2)
             }
         };
-        self.form = Form::Chunked(next);
+        self.framing = Framing::Chunked(next);
         Ok(used)
     }
 }
 
-/// Appends one chunk of the chunked coding.
+/// Appends `data` to `out` as one chunk. Empty data is skipped: an empty chunk would end the body.
 pub fn write_chunk(data: &[u8], out: &mut Vec<u8>) {
     if data.is_empty() {
         return;
@@ -153,5 +172,5 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The end of a chunked body.
+/// The last chunk, which ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,11 +1,11 @@
-//! HTTP/1.1 messages (RFC 9112) and server-sent events (WHATWG HTML, section 9.2) as codecs: bytes in, messages
-//! out. Nothing here reads a socket or a clock; every step is bounded by the limits given.
+//! Codecs for HTTP/1.1 messages (RFC 9112) and server-sent events (WHATWG HTML, section 9.2): bytes in, messages
+//! out. The crate performs no I/O and reads no clock; the caller's limits bound the memory that each reader uses.
 
 pub mod body;
 pub mod request;
 pub mod response;
 pub mod sse;
 
-pub use body::Body;
+pub use body::BodyDecoder;
 pub use request::{Head, Limits, Refusal, RequestReader, Step};
 pub use response::{ResponseHead, ResponseReader};
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -1,14 +1,17 @@
-//! Requests, read strictly: what two readers could understand differently is refused (RFC 9112 section 11.2).
+//! Strict reading of HTTP requests: whatever two parsers could read differently is rejected, as it would allow request
+//! smuggling (RFC 9112 section 11.2).
 
-use crate::body::{Body, BodyFault};
+use crate::body::{BodyDecoder, BodyError};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, header};
 
+/// Size limits for one request or response.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Bytes of the request line and all header lines together.
+    /// Bytes of the start line and all header lines together.
     pub head: usize,
     /// Bytes of one line of the head.
     pub line: usize,
+    /// Number of header lines.
     pub headers: usize,
     /// Bytes of a body.
     pub body: usize,
@@ -20,7 +23,8 @@
     }
 }
 
-/// Why a request is refused; the connection ends with the answer, as what follows cannot be trusted.
+/// Why a request is rejected. The connection is closed after the response: where the next request would begin is not
+/// known for certain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     Malformed(&'static str),
@@ -28,10 +32,12 @@
     BodyTooLong,
     /// A transfer coding other than chunked.
     Coding,
+    /// An HTTP version other than 1.0 and 1.1.
     Version,
 }
 
 impl Refusal {
+    /// The status code of the response.
     pub fn status(self) -> u16 {
         match self {
             Refusal::Malformed(_) => 400,
@@ -42,6 +48,7 @@
         }
     }
 
+    /// The reason, as sent to the client.
     pub fn why(self) -> &'static str {
         match self {
             Refusal::Malformed(why) => why,
@@ -53,130 +60,139 @@
     }
 }
 
+/// The request line and headers of a request.
 #[derive(Clone, Debug)]
 pub struct Head {
     pub method: Method,
     pub target: String,
     pub headers: HeaderMap,
+    /// Whether the client wants the connection to stay open.
     pub keep_alive: bool,
-    /// HTTP/1.0, which knows no chunks.
+    /// The request is HTTP/1.0, which has no chunked coding.
     pub old: bool,
 }
 
 impl Head {
-    /// A header's value as text.
+    /// A header's value, if it is visible ASCII text.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The target without its query.
+    /// The request target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 }
 
+/// What [`RequestReader::poll`] found.
 #[derive(Debug)]
 pub enum Step {
-    /// More bytes are needed; whether a request has begun.
+    /// More bytes are needed.
     More {
+        /// Whether part of a request has been received.
         begun: bool,
     },
     /// The client waits for `100 Continue` before it sends the body.
     Continue,
+    /// A complete request with its body.
     Request(Box<Head>, Vec<u8>),
 }
 
-/// Takes bytes as they come and gives whole requests in their order.
+/// Incremental reader of the requests on one connection, pipelined ones included.
 pub struct RequestReader {
     limits: Limits,
     buffer: Vec<u8>,
-    /// How far the head has been searched for its end.
+    /// How many bytes of the buffer have been searched for the end of the head.
     searched: usize,
-    waiting: Option<(Box<Head>, Body, Vec<u8>)>,
-    refused: Option<Refusal>,
+    /// A request whose body is not complete yet, with the data so far.
+    pending: Option<(Box<Head>, BodyDecoder, Vec<u8>)>,
+    refusal: Option<Refusal>,
 }
 
 impl RequestReader {
     pub fn new(limits: Limits) -> Self {
-        RequestReader { limits, buffer: Vec::new(), searched: 0, waiting: None, refused: None }
+        RequestReader { limits, buffer: Vec::new(), searched: 0, pending: None, refusal: None }
     }
 
+    /// Adds received bytes. They are ignored after a refusal.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.refused.is_none() {
+        if self.refusal.is_none() {
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Whether the body of a request is being waited for.
+    /// Whether a head has been read and its body is incomplete.
     pub fn in_body(&self) -> bool {
-        self.waiting.is_some()
+        self.pending.is_some()
     }
 
+    /// The next request or what is missing for it. After a refusal every call returns that refusal.
     pub fn poll(&mut self) -> Result<Step, Refusal> {
-        if let Some(refused) = self.refused {
-            return Err(refused);
+        if let Some(refusal) = self.refusal {
+            return Err(refusal);
         }
         let step = self.step();
-        if let Err(refused) = &step {
-            self.refused = Some(*refused);
+        if let Err(refusal) = &step {
+            self.refusal = Some(*refusal);
             self.buffer = Vec::new();
         }
         step
     }
 
     fn step(&mut self) -> Result<Step, Refusal> {
-        if self.waiting.is_none() {
+        if self.pending.is_none() {
             let Some(end) = self.head_end()? else {
                 return Ok(Step::More { begun: !self.buffer.is_empty() });
             };
             let (head, body) = parse(&self.buffer[..end], &self.limits)?;
             self.buffer.drain(..end);
             self.searched = 0;
-            let expects = head.text("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
-            let wait = expects && !body.done() && self.buffer.is_empty();
-            self.waiting = Some((Box::new(head), body, Vec::new()));
-            if wait {
+            let expects_continue =
+                head.text("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
+            let awaits_continue = expects_continue && !body.is_done() && self.buffer.is_empty();
+            self.pending = Some((Box::new(head), body, Vec::new()));
+            if awaits_continue {
                 return Ok(Step::Continue);
             }
         }
-        let Some((head, mut body, mut data)) = self.waiting.take() else {
+        let Some((head, mut body, mut data)) = self.pending.take() else {
             return Ok(Step::More { begun: false });
         };
-        let used = body.take(&self.buffer, &mut data).map_err(|fault| match fault {
-            BodyFault::TooLong => Refusal::BodyTooLong,
-            BodyFault::Malformed => Refusal::Malformed("the chunked coding is broken"),
+        let used = body.decode(&self.buffer, &mut data).map_err(|error| match error {
+            BodyError::TooLong => Refusal::BodyTooLong,
+            BodyError::Malformed => Refusal::Malformed("the chunked coding is broken"),
         })?;
         self.buffer.drain(..used);
-        if body.done() {
-            // A request may be held for long, and its connection for longer: neither keeps room that it doesn't use.
+        if body.is_done() {
+            // Requests and idle connections may live long: unused buffer capacity is freed.
             data.shrink_to_fit();
             if self.buffer.is_empty() {
                 self.buffer = Vec::new();
             }
             return Ok(Step::Request(head, data));
         }
-        self.waiting = Some((head, body, data));
+        self.pending = Some((head, body, data));
         Ok(Step::More { begun: true })
     }
 
-    /// Where the head ends. Lines end with CR LF only; empty lines before a request are passed over (RFC 9112
-    /// section 2.2).
+    /// The length of the head, or `None` while it is incomplete. Lines must end with CR LF; empty lines before a
+    /// request are skipped (RFC 9112 section 2.2).
     fn head_end(&mut self) -> Result<Option<usize>, Refusal> {
-        let skip = self.buffer.chunks(2).take_while(|two| *two == b"\r\n").count() * 2;
+        let skip = self.buffer.chunks(2).take_while(|pair| *pair == b"\r\n").count() * 2;
         if skip > 0 {
             self.buffer.drain(..skip);
             self.searched = 0;
         }
         let from = self.searched.saturating_sub(3);
-        let found = self.buffer[from..].windows(4).position(|four| four == b"\r\n\r\n");
+        let found = self.buffer[from..].windows(4).position(|window| window == b"\r\n\r\n");
         let end = found.map_or(self.buffer.len(), |at| from + at + 4);
         if end > self.limits.head {
             return Err(Refusal::HeadTooLong);
         }
         let head = &self.buffer[..end];
-        let mut line = 0;
+        let mut line_bytes = 0;
         for (i, byte) in head.iter().enumerate() {
-            line = if *byte == b'\n' { 0 } else { line + 1 };
+            line_bytes = if *byte == b'\n' { 0 } else { line_bytes + 1 };
             match byte {
                 b'\n' if i == 0 || head[i - 1] != b'\r' => {
                     return Err(Refusal::Malformed("a line ends without CR"));
@@ -185,7 +201,7 @@
                     return Err(Refusal::Malformed("a CR stands inside a line"));
                 }
                 0 => return Err(Refusal::Malformed("the head has a NUL")),
-                _ if line > self.limits.line => return Err(Refusal::HeadTooLong),
+                _ if line_bytes > self.limits.line => return Err(Refusal::HeadTooLong),
                 _ => {}
             }
         }
@@ -194,9 +210,9 @@
     }
 }
 
-fn parse(bytes: &[u8], limits: &Limits) -> Result<(Head, Body), Refusal> {
-    let mut lines = vec![httparse::EMPTY_HEADER; limits.headers];
-    let mut parsed = httparse::Request::new(&mut lines);
+fn parse(bytes: &[u8], limits: &Limits) -> Result<(Head, BodyDecoder), Refusal> {
+    let mut header_slots = vec![httparse::EMPTY_HEADER; limits.headers];
+    let mut parsed = httparse::Request::new(&mut header_slots);
     match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(used)) if used == bytes.len() => {}
         Ok(_) => return Err(Refusal::Malformed("the head is cut short")),
@@ -209,10 +225,10 @@
         .map_err(|_| Refusal::Malformed("the method cannot be read"))?;
     let target = parsed.path.unwrap_or_default().to_owned();
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
-    for line in parsed.headers.iter() {
-        let name = HeaderName::from_bytes(line.name.as_bytes())
+    for field in parsed.headers.iter() {
+        let name = HeaderName::from_bytes(field.name.as_bytes())
             .map_err(|_| Refusal::Malformed("a header's name cannot be read"))?;
-        let value = HeaderValue::from_bytes(line.value)
+        let value = HeaderValue::from_bytes(field.value)
             .map_err(|_| Refusal::Malformed("a header's value cannot be read"))?;
         headers.append(name, value);
     }
@@ -220,23 +236,24 @@
     if hosts > 1 || (version == 1 && hosts == 0) {
         return Err(Refusal::Malformed("one Host header is wanted"));
     }
-    let body = framing(&headers, version, limits)?;
+    let body = body_framing(&headers, version, limits)?;
     let connection = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let options: Vec<String> =
-        connection.flat_map(|v| v.split(',')).map(|o| o.trim().to_ascii_lowercase()).collect();
-    let says = |word: &str| options.iter().any(|option| option == word);
-    let keep_alive = !says("close") && (version == 1 || says("keep-alive"));
+        connection.flat_map(|v| v.split(',')).map(|option| option.trim().to_ascii_lowercase()).collect();
+    let has_option = |word: &str| options.iter().any(|option| option == word);
+    let keep_alive = !has_option("close") && (version == 1 || has_option("keep-alive"));
     Ok((Head { method, target, headers, keep_alive, old: version == 0 }, body))
 }
 
-/// How long the body is. Both lengths, two lengths, or odd ones are refused whole (RFC 9112 section 6.3).
-fn framing(headers: &HeaderMap, version: u8, limits: &Limits) -> Result<Body, Refusal> {
+/// How the body is delimited. A request with both Content-Length and Transfer-Encoding, with either of them repeated,
+/// or with an invalid length is rejected (RFC 9112 section 6.3).
+fn body_framing(headers: &HeaderMap, version: u8, limits: &Limits) -> Result<BodyDecoder, Refusal> {
     let lengths: Vec<&HeaderValue> = headers.get_all(header::CONTENT_LENGTH).iter().collect();
     let codings: Vec<&HeaderValue> = headers.get_all(header::TRANSFER_ENCODING).iter().collect();
     match (lengths.as_slice(), codings.as_slice()) {
-        ([], []) => Ok(Body::none()),
+        ([], []) => Ok(BodyDecoder::none()),
         ([], [coding]) if version == 1 => match coding.as_bytes() {
-            coding if coding.eq_ignore_ascii_case(b"chunked") => Ok(Body::chunked(limits.body as u64)),
+            coding if coding.eq_ignore_ascii_case(b"chunked") => Ok(BodyDecoder::chunked(limits.body as u64)),
             _ => Err(Refusal::Coding),
         },
         ([length], []) => {
@@ -246,7 +263,7 @@
             }
             let text = length.to_str().map_err(|_| Refusal::Malformed("the length is not a number"))?;
             let bytes = text.parse().map_err(|_| Refusal::Malformed("the length is not a number"))?;
-            Body::length(bytes, limits.body as u64).map_err(|_| Refusal::BodyTooLong)
+            BodyDecoder::length(bytes, limits.body as u64).map_err(|_| Refusal::BodyTooLong)
         }
         _ => Err(Refusal::Malformed("the body's length is told in two ways")),
     }
--- a/crates/http1/src/sse.rs
+++ b/crates/http1/src/sse.rs
@@ -1,62 +1,65 @@
-//! Server-sent events: lines in, events out, at any split of the bytes.
+//! Server-sent events: an incremental reader, which accepts the bytes in pieces of any size, and a writer.
 
-use crate::response::Rubbish;
+use crate::response::MalformedResponse;
 
+/// One event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
+    /// The `event` field; empty if the event has none.
     pub name: String,
+    /// The `data` fields, joined with line feeds.
     pub data: String,
 }
 
-/// Reads a stream of events; a line or an event longer than the limit is rubbish.
+/// Reads a stream of events. A line or an event longer than the limit is an error.
 pub struct Reader {
     limit: usize,
     line: Vec<u8>,
     event: Event,
-    any: bool,
+    has_data: bool,
     after_cr: bool,
 }
 
 impl Reader {
     pub fn new(limit: usize) -> Self {
-        Reader { limit, line: Vec::new(), event: Event::default(), any: false, after_cr: false }
+        Reader { limit, line: Vec::new(), event: Event::default(), has_data: false, after_cr: false }
     }
 
-    /// Takes bytes and appends the events that they complete.
-    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), Rubbish> {
+    /// Reads `bytes` and appends the events that they complete to `out`.
+    pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<Event>) -> Result<(), MalformedResponse> {
         for byte in bytes {
             let after_cr = std::mem::replace(&mut self.after_cr, *byte == b'\r');
             match byte {
                 b'\n' if after_cr => {}
-                b'\n' | b'\r' => self.line_ends(out)?,
-                _ if self.line.len() >= self.limit => return Err(Rubbish("an endless line")),
+                b'\n' | b'\r' => self.end_line(out)?,
+                _ if self.line.len() >= self.limit => return Err(MalformedResponse("line too long")),
                 other => self.line.push(*other),
             }
         }
         Ok(())
     }
 
-    fn line_ends(&mut self, out: &mut Vec<Event>) -> Result<(), Rubbish> {
+    fn end_line(&mut self, out: &mut Vec<Event>) -> Result<(), MalformedResponse> {
         let line = std::mem::take(&mut self.line);
         if line.is_empty() {
-            if std::mem::take(&mut self.any) {
+            if std::mem::take(&mut self.has_data) {
                 out.push(std::mem::take(&mut self.event));
             }
             self.event = Event::default();
             return Ok(());
         }
-        let text = std::str::from_utf8(&line).map_err(|_| Rubbish("a line that is not UTF-8"))?;
+        let text = std::str::from_utf8(&line).map_err(|_| MalformedResponse("line is not valid UTF-8"))?;
         let (field, value) = text.split_once(':').unwrap_or((text, ""));
         let value = value.strip_prefix(' ').unwrap_or(value);
         match field {
             "data" => {
-                if self.any {
+                if self.has_data {
                     self.event.data.push('\n');
                 }
-                self.any = true;
+                self.has_data = true;
                 self.event.data.push_str(value);
                 if self.event.data.len() > self.limit {
-                    return Err(Rubbish("an endless event"));
+                    return Err(MalformedResponse("event too long"));
                 }
             }
             "event" => value.clone_into(&mut self.event.name),
@@ -68,7 +71,7 @@
     }
 }
 
-/// Appends one event; `data` is one line.
+/// Appends one event to `out`. `data` must be a single line; an empty `name` is left out.
 pub fn write(name: &str, data: &str, out: &mut Vec<u8>) {
     if !name.is_empty() {
         out.extend_from_slice(b"event: ");
--- a/crates/http1/tests/requests.rs
+++ b/crates/http1/tests/requests.rs
@@ -1,10 +1,10 @@
-//! Requests: what is read, what is refused, at any split of the bytes.
+//! Requests, responses and events: what is accepted and what is rejected does not depend on how the bytes are split.
 
 use proptest::prelude::*;
 use tulipstall_http1::{Limits, Refusal, RequestReader, ResponseReader, Step, sse};
 
-/// What a reader makes of bytes that come in parts of so many: `METHOD path [body]` for each request, or the
-/// status of the refusal.
+/// Feeds `bytes` to a reader in parts of `part` bytes. Returns `METHOD path [body]` for each request, `100` where the
+/// client waits for it, and the status code of a refusal, after which reading ends.
 fn read(bytes: &[u8], part: usize) -> Vec<String> {
     let limits = Limits { head: 512, line: 200, headers: 8, body: 64 };
     let mut reader = RequestReader::new(limits);
@@ -59,7 +59,7 @@
         ("a list of lengths", "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 3, 3\r\n\r\nabc", vec!["400"]),
         ("a signed length", "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: +3\r\n\r\nabc", vec!["400"]),
         (
-            "a length beyond all",
+            "a length beyond 64 bits",
             "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 99999999999999999999\r\n\r\n",
             vec!["400"],
         ),
@@ -93,7 +93,7 @@
             vec!["400"],
         ),
         (
-            "a chunk longer than told",
+            "a chunk longer than declared",
             "POST / HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n",
             vec!["400"],
         ),
@@ -113,7 +113,7 @@
             vec!["413"],
         ),
         (
-            "waits to go on",
+            "waits for 100 Continue",
             "POST / HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\ncontent-length: 1\r\n\r\n",
             vec!["100"],
         ),
@@ -121,15 +121,15 @@
         ("many headers", &many, vec!["431"]),
         ("a NUL", "GET / HTTP/1.1\r\nhost: x\0\r\n\r\n", vec!["400"]),
     ];
-    for (what, bytes, wanted) in cases {
+    for (name, bytes, expected) in cases {
         for part in [1, 2, 3, 7, 1000] {
-            assert_eq!(read(bytes.as_bytes(), part), wanted, "{what}, in parts of {part}");
+            assert_eq!(read(bytes.as_bytes(), part), expected, "{name}, in parts of {part}");
         }
     }
 }
 
 #[test]
-fn a_refusal_is_the_end() {
+fn a_refusal_is_permanent() {
     let mut reader = RequestReader::new(Limits::default());
     reader.feed(b"BAD\r\n\r\n");
     assert!(matches!(reader.poll(), Err(Refusal::Malformed(_))));
@@ -137,6 +137,7 @@
     assert!(matches!(reader.poll(), Err(Refusal::Malformed(_))));
 }
 
+/// Reads `bytes` as events in parts of `part` bytes; `None` if a part is rejected.
 fn events(bytes: &[u8], part: usize) -> Option<Vec<sse::Event>> {
     let (mut reader, mut out) = (sse::Reader::new(1000), Vec::new());
     for part in bytes.chunks(part.max(1)) {
@@ -152,7 +153,7 @@
     }
 
     #[test]
-    fn a_spoilt_request_is_read_alike_at_any_split(at in 0usize..120, byte in any::<u8>(), part in 1usize..40) {
+    fn a_request_with_one_changed_byte_is_read_alike_at_any_split(at in 0usize..120, byte in any::<u8>(), part in 1usize..40) {
         let mut bytes =
             b"POST /v1 HTTP/1.1\r\nhost: x\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\nhost: x\r\n\r\n".to_vec();
         let at = at % bytes.len();
@@ -172,7 +173,7 @@
     }
 
     #[test]
-    fn any_bytes_as_events_or_as_a_response_end(bytes in proptest::collection::vec(any::<u8>(), 0..2000), part in 1usize..99) {
+    fn arbitrary_bytes_as_events_or_as_a_response_body_are_handled(bytes in proptest::collection::vec(any::<u8>(), 0..2000), part in 1usize..99) {
         let _ = events(&bytes, part);
         let mut reader = ResponseReader::new(Limits::default());
         reader.feed(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
