--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -506,7 +506,7 @@
         let task = Arc::new(Task::new(id, prompt, ask.clone(), ticket, self.sender.clone()));
         let _active = ActiveTaskGuard(self.shared.clone());
         self.shared.owner_queue.send(OwnerMessage::Arrive(task.clone(), Box::new(ask)));
-        let form = relay::ResponseForm { streamed: call.stream, http10: head.old };
+        let form = relay::ResponseForm { streamed: call.stream, http10: head.http10 };
         let outcome = catch_unwind(AssertUnwindSafe(|| self.wait_for_answer(&task, form, options)));
         let (answer, keep_open) = outcome.unwrap_or_else(|_| self.abort_after_panic(&task, form, options));
         let offering = &self.shared.settings.offerings[offering].name;
--- a/crates/http1/src/request.rs
+++ b/crates/http1/src/request.rs
@@ -69,7 +69,7 @@
     /// Whether the client wants the connection to stay open.
     pub keep_alive: bool,
     /// The request is HTTP/1.0, which has no chunked coding.
-    pub old: bool,
+    pub http10: bool,
 }
 
 impl Head {
@@ -242,7 +242,7 @@
         connection.flat_map(|v| v.split(',')).map(|option| option.trim().to_ascii_lowercase()).collect();
     let has_option = |word: &str| options.iter().any(|option| option == word);
     let keep_alive = !has_option("close") && (version == 1 || has_option("keep-alive"));
-    Ok((Head { method, target, headers, keep_alive, old: version == 0 }, body))
+    Ok((Head { method, target, headers, keep_alive, http10: version == 0 }, body))
 }
 
 /// How the body is delimited. A request with both Content-Length and Transfer-Encoding, with either of them repeated,
