--- a/crates/prefix/benches/index.rs
+++ b/crates/prefix/benches/index.rs
@@ -50,7 +50,7 @@
                 let shared = (host * 4 + chance.random_range(0..4)) % 40;
                 let prompt = chain(shared, 1000, u64::from(host) << 32 | i, 2000);
                 let began = Instant::now();
-                index.read(Duration::from_secs(1), host, &prompt, false);
+                index.record_read(Duration::from_secs(1), host, &prompt, false);
                 reads.push(began.elapsed());
                 if i < 2 {
                     prompts.push(prompt);
@@ -69,7 +69,7 @@
             }
         }
         let longest = chain(1, 1000, u64::MAX, 32_000);
-        index.read(Duration::from_secs(1), 0, &longest, false);
+        index.record_read(Duration::from_secs(1), 0, &longest, false);
         let long: Vec<Duration> = (0..100)
             .map(|_| {
                 let began = Instant::now();
@@ -88,7 +88,7 @@
         // All hosts hold one text: the worst case of a walk.
         let common = chain(99, 2000, 0, 2000);
         for host in 0..hosts {
-            index.read(Duration::from_secs(1), host, &common, false);
+            index.record_read(Duration::from_secs(1), host, &common, false);
         }
         let worst: Vec<Duration> = (0..100)
             .map(|_| {
@@ -98,7 +98,7 @@
             })
             .collect();
         let began = Instant::now();
-        index.forget(0);
+        index.clear_host(0);
         println!(
             "{:>5} of which all hold one text: {:>6.1} us; a host forgets in {:.0} us",
             hosts,
--- a/crates/prefix/src/chain.rs
+++ b/crates/prefix/src/chain.rs
@@ -1,33 +1,33 @@
-//! Prompts as chains of hashed blocks: each hash is over its block and all before it, so that one hash names a whole
-//! opening text. Keyed, so that nobody can make two texts meet or tell from a place in the index what a text is
-//! (SipHash: Aumasson and Bernstein, 2012); a customer's salt keeps its texts apart from others'.
+//! Prompts as chains of hashed blocks. Each hash covers its block and all blocks before it, so that one hash identifies a
+//! whole prefix. The hash is keyed (SipHash: Aumasson and Bernstein, 2012), so that clients can neither produce collisions
+//! nor infer a text from its hash. A salt per customer separates the texts of customers.
 
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 
-/// Tokens of a block, by the rule of thumb: a quarter for each ASCII byte, half for each other character. Two of the
-/// blocks of sixteen that engines commonly keep: half the work, and at most that much of a kept text is overlooked.
+/// Tokens per block, estimated as a quarter of a token for each ASCII byte and half a token for each other character. This
+/// is twice the block size of 16 tokens that engines commonly use for their caches: it halves the work, and less than one
+/// block of a cached text is overlooked.
 pub const BLOCK: u32 = 32;
 
-/// What keys the hash.
+/// The secret key of the hash.
 #[derive(Clone, Copy)]
 pub struct Key(pub [u8; 16]);
 
 impl Key {
-    /// Appends the hashes of a text's whole blocks. What a block begins with depends on nothing that follows it.
+    /// Appends the hashes of the complete blocks of a text. Where a block begins depends only on the text before it.
     pub fn chain(&self, salt: u64, text: &str, out: &mut Vec<u64>) {
-        // In quarters of a token.
-        let (mut before, mut from, mut size) = (salt, 0, 0);
+        let (mut previous, mut from, mut quarter_tokens) = (salt, 0, 0);
         for (at, c) in text.char_indices() {
-            size += if c.is_ascii() { 1 } else { 2 };
-            if size >= 4 * BLOCK {
+            quarter_tokens += if c.is_ascii() { 1 } else { 2 };
+            if quarter_tokens >= 4 * BLOCK {
                 let end = at + c.len_utf8();
                 let mut hasher = SipHasher24::new_with_key(&self.0);
-                hasher.write_u64(before);
+                hasher.write_u64(previous);
                 hasher.write(&text.as_bytes()[from..end]);
-                before = hasher.finish();
-                out.push(before);
-                (from, size) = (end, 0);
+                previous = hasher.finish();
+                out.push(previous);
+                (from, quarter_tokens) = (end, 0);
             }
         }
     }
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -1,32 +1,35 @@
-//! Blocks of texts and the hosts that hold them, in memory taken once. A host that holds a block holds all before it:
-//! what is let go of goes from the ends. So the hosts of a block are all of those of the next one of its text, and one walk
-//! from the last known block to the first gives each host's longest run, passing over blocks whose hosts are as many
-//! as the next one's.
-
-use crate::places::Places;
+//! Index of hashed prompt blocks and of the hosts that have them cached, in memory allocated once.
+//!
+//! A host that holds a block also holds all blocks before it in the text, as blocks are dropped from the ends of texts.
+//! The hosts of a block are therefore a superset of those of the next block. One walk from the last known block of a
+//! prompt back to the first gives the longest run of each host, and may skip blocks with as many hosts as the block
+//! after them.
+
+use crate::places::EntryTable;
 use std::time::Duration;
 
 const NONE: u32 = u32::MAX;
 
-/// Holdings for each block: a text in demand is held by several hosts, one that was asked for once by one.
-const HOLDINGS: usize = 3;
+/// Holdings (pairs of block and host) per block: a text in demand is cached at several hosts, a text requested once at
+/// one.
+const HOLDINGS_PER_BLOCK: usize = 3;
 
-/// The part of the blocks that only texts asked for again may fill; the rest is for what came once, so that a flood of
-/// texts that never come again pushes out its own kind.
-const PROTECTED: f64 = 0.8;
+/// Part of the blocks that may be marked as reused. The rest is left to blocks that were requested once, so that a flood
+/// of texts that are never requested again only evicts texts of its own sort.
+const REUSED_PART: f64 = 0.8;
 
-/// What is not touched for so long is thought dropped: many times a session's pause, and engines' caches turn over
-/// sooner under load.
-const OLD: Duration = Duration::from_secs(600);
+/// A holding that is not read for this long is considered evicted. This is many times the pause between two requests of a
+/// session, and the caches of engines under load are replaced sooner.
+const MAX_AGE: Duration = Duration::from_secs(600);
 
-/// Holdings dropped for age or want of room with each read, beside those that make room for its own: more than one
-/// read adds on average, so that what is due is caught up with, few enough not to be felt.
-const SWEEP: usize = 64;
+/// Maximum number of holdings dropped for their age with each read, in addition to those that make room for the read
+/// itself. More than a read adds on average, so that the backlog is worked off, and few enough not to delay a read.
+const SWEEP_LIMIT: usize = 64;
 
-/// The least that a host's observed room may fall to, in blocks: some long prompts.
-const LEAST_ROOM: u32 = 256;
+/// Lower limit of the learned capacity of a host, in blocks: a few long prompts.
+const MIN_CAPACITY_BLOCKS: u32 = 256;
 
-/// A list in both directions, by places.
+/// Ends of a doubly linked list, as indices.
 #[derive(Clone, Copy, Debug)]
 struct List {
     newest: u32,
@@ -35,376 +38,416 @@
 
 const EMPTY: List = List { newest: NONE, oldest: NONE };
 
+/// A block of a text.
 #[derive(Clone, Copy, Debug)]
 struct Block {
     hash: u64,
     parent: u32,
+    /// Number of known blocks that follow this one directly.
     children: u32,
-    /// Its holdings, and how many.
-    first: u32,
-    holders: u32,
+    /// Start of the list of the block's holdings, and their number.
+    first_holding: u32,
+    holder_count: u32,
+    /// Neighbours in the list of reused blocks or of those requested once.
     newer: u32,
     older: u32,
-    again: bool,
+    /// Requested again since it became known.
+    reused: bool,
 }
 
+/// A block cached at a host.
 #[derive(Clone, Copy, Debug)]
 struct Holding {
     block: u32,
     host: u32,
-    /// Tenths of a second.
-    at: u32,
-    /// How often its host had been doubted by then.
-    doubts: u32,
+    /// Time of the last read, in tenths of a second.
+    last_read_ds: u32,
+    /// Number of suspicions of the host at the time of the last read.
+    suspicions: u32,
+    /// Neighbours in the list of the block's holdings.
     next: u32,
-    before: u32,
+    previous: u32,
+    /// Neighbours in the list of the host's holdings.
     newer: u32,
     older: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Host {
-    held: u32,
-    /// As told, and as its reads show.
-    told: u32,
-    room: u32,
+    held_blocks: u32,
+    /// Capacity in blocks as reported in the host list.
+    reported_capacity: u32,
+    /// Capacity in blocks as learned from the host's reads, at most the reported one.
+    capacity: u32,
     list: List,
-    /// Whether it is doubted, and how often that has begun: what it read before holds an earlier number.
-    doubted: bool,
-    doubts: u32,
+    /// Whether the host is suspected to have lost its cache.
+    suspected: bool,
+    /// How often a suspicion has begun. Holdings read before the latest one have a lower count.
+    suspicions: u32,
 }
 
-/// Blocks by their hashes, and their hosts.
+/// Blocks by their hashes, with the hosts that have them cached.
 pub struct Index {
     blocks: Vec<Block>,
+    /// Start of the list of free entries, linked by `older`.
     free_blocks: u32,
-    by_hash: Places,
-    most_blocks: usize,
-    once: List,
-    again: List,
-    protected: usize,
+    by_hash: EntryTable,
+    max_blocks: usize,
+    /// Blocks requested once, and blocks requested again.
+    once_list: List,
+    reused_list: List,
+    reused_count: usize,
     holdings: Vec<Holding>,
+    /// Start of the list of free entries, linked by `older`.
     free_holdings: u32,
-    by_pair: Places,
-    most_holdings: usize,
+    by_pair: EntryTable,
+    max_holdings: usize,
     hosts: Vec<Host>,
-    /// Scratch for a look-up: which hosts have been seen in which.
-    seen: Vec<u32>,
-    round: u32,
+    /// By host: the number of the look-up that found it last.
+    seen_in_lookup: Vec<u32>,
+    lookup: u32,
+    /// Scratch space: the blocks of one prompt.
     path: Vec<u32>,
     bytes: usize,
 }
 
-fn mix(block: u32, host: u32) -> u64 {
-    // Fibonacci hashing (Knuth, volume 3, section 6.4) of the pair: both are small numbers of our own.
+fn pair_hash(block: u32, host: u32) -> u64 {
+    // Fibonacci hashing (Knuth, volume 3, section 6.4). The input is not under a client's control: both are small indices.
     ((u64::from(host) << 32) | u64::from(block)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
 }
 
 impl Index {
-    /// For so many bytes in all, taken now; what hosts are known and one prompt's path come to that.
+    /// An index of at most `bytes` bytes in all. Blocks and holdings are allocated now; the known hosts and the path of
+    /// one prompt come in addition, within the same limit.
     pub fn new(bytes: usize) -> Self {
-        let each = size_of::<Block>() + Places::BYTES + HOLDINGS * (size_of::<Holding>() + Places::BYTES);
-        // A twentieth is for hosts and the path of one prompt.
-        let most_blocks = (bytes - bytes / 20) / each;
-        let most_holdings = most_blocks * HOLDINGS;
+        let bytes_per_block = size_of::<Block>()
+            + EntryTable::BYTES_PER_ENTRY
+            + HOLDINGS_PER_BLOCK * (size_of::<Holding>() + EntryTable::BYTES_PER_ENTRY);
+        // A twentieth is reserved for the hosts and the path of one prompt.
+        let max_blocks = (bytes - bytes / 20) / bytes_per_block;
+        let max_holdings = max_blocks * HOLDINGS_PER_BLOCK;
         Index {
-            blocks: Vec::with_capacity(most_blocks),
+            blocks: Vec::with_capacity(max_blocks),
             free_blocks: NONE,
-            by_hash: Places::new(most_blocks),
-            most_blocks,
-            once: EMPTY,
-            again: EMPTY,
-            protected: 0,
-            holdings: Vec::with_capacity(most_holdings),
+            by_hash: EntryTable::new(max_blocks),
+            max_blocks,
+            once_list: EMPTY,
+            reused_list: EMPTY,
+            reused_count: 0,
+            holdings: Vec::with_capacity(max_holdings),
             free_holdings: NONE,
-            by_pair: Places::new(most_holdings),
-            most_holdings,
+            by_pair: EntryTable::new(max_holdings),
+            max_holdings,
             hosts: Vec::new(),
-            seen: Vec::new(),
-            round: 0,
+            seen_in_lookup: Vec::new(),
+            lookup: 0,
             path: Vec::new(),
             bytes,
         }
     }
 
-    /// Blocks known, and blocks held counted for each host.
+    /// Number of blocks, and number of holdings: pairs of a block and a host that has it cached.
     pub fn sizes(&self) -> (usize, usize) {
         (self.by_hash.len(), self.by_pair.len())
     }
 
-    /// Blocks that it has room for.
+    /// Maximum number of blocks.
     pub fn most_blocks(&self) -> usize {
-        self.most_blocks
+        self.max_blocks
     }
 
-    /// Bytes that it may take.
+    /// Maximum memory in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Blocks that a host is thought to hold.
-    pub fn held(&self, host: u32) -> u32 {
-        self.hosts.get(host as usize).map_or(0, |host| host.held)
+    /// Number of blocks that a host is estimated to have cached.
+    pub fn held_blocks(&self, host: u32) -> u32 {
+        self.hosts.get(host as usize).map_or(0, |host| host.held_blocks)
     }
 
+    /// The entry of a host, created if needed.
     fn host(&mut self, host: u32) -> &mut Host {
-        let at = host as usize;
-        if self.hosts.len() <= at {
+        let index = host as usize;
+        if self.hosts.len() <= index {
             self.hosts.resize(
-                at + 1,
-                Host { held: 0, told: u32::MAX, room: u32::MAX, list: EMPTY, doubted: false, doubts: 0 },
+                index + 1,
+                Host {
+                    held_blocks: 0,
+                    reported_capacity: u32::MAX,
+                    capacity: u32::MAX,
+                    list: EMPTY,
+                    suspected: false,
+                    suspicions: 0,
+                },
             );
-            self.seen.resize(at + 1, 0);
+            self.seen_in_lookup.resize(index + 1, 0);
         }
-        &mut self.hosts[at]
+        &mut self.hosts[index]
     }
 
-    /// How many blocks a host can hold, as told.
-    pub fn room(&mut self, host: u32, blocks: u32) {
+    /// Sets the reported capacity of a host, in blocks. A changed value replaces the learned capacity.
+    pub fn set_capacity(&mut self, host: u32, capacity: u32) {
         let host = self.host(host);
-        if host.told != blocks {
-            (host.told, host.room) = (blocks, blocks);
+        if host.reported_capacity != capacity {
+            (host.reported_capacity, host.capacity) = (capacity, capacity);
         }
     }
 
-    fn find(&self, hash: u64) -> Option<u32> {
-        self.by_hash.find(hash, |at| self.blocks[at as usize].hash == hash)
+    fn find_block(&self, hash: u64) -> Option<u32> {
+        self.by_hash.find(hash, |index| self.blocks[index as usize].hash == hash)
     }
 
-    fn pair(&self, block: u32, host: u32) -> Option<u32> {
-        self.by_pair.find(mix(block, host), |at| {
-            let holding = &self.holdings[at as usize];
+    fn find_holding(&self, block: u32, host: u32) -> Option<u32> {
+        self.by_pair.find(pair_hash(block, host), |index| {
+            let holding = &self.holdings[index as usize];
             holding.block == block && holding.host == host
         })
     }
 
-    /// Each host's longest run of a text's blocks, longest first; hosts without any are left out.
+    /// For each host the number of blocks that it has cached from the start of a prompt, longest run first. Hosts without
+    /// any are left out.
     pub fn look_up(&mut self, chain: &[u64], out: &mut Vec<(u32, u32)>) {
         out.clear();
         self.path.clear();
         for hash in chain {
-            match self.find(*hash) {
+            match self.find_block(*hash) {
                 Some(block) => self.path.push(block),
                 None => break,
             }
         }
-        self.round = self.round.wrapping_add(1);
-        if self.round == 0 {
-            (self.round, _) = (1, self.seen.fill(0));
+        self.lookup = self.lookup.wrapping_add(1);
+        if self.lookup == 0 {
+            (self.lookup, _) = (1, self.seen_in_lookup.fill(0));
         }
-        let mut known = 0;
-        for (i, at) in self.path.iter().enumerate().rev() {
-            let block = &self.blocks[*at as usize];
-            // All of its hosts are the next block's too.
-            if block.holders == known {
+        let mut known_holders = 0;
+        for (i, index) in self.path.iter().enumerate().rev() {
+            let block = &self.blocks[*index as usize];
+            // As many hosts as the next block has: the same hosts.
+            if block.holder_count == known_holders {
                 continue;
             }
-            known = block.holders;
-            let mut holding = block.first;
+            known_holders = block.holder_count;
+            let mut holding = block.first_holding;
             while holding != NONE {
-                let about = &self.holdings[holding as usize];
-                if self.seen[about.host as usize] != self.round {
-                    self.seen[about.host as usize] = self.round;
-                    out.push((about.host, i as u32 + 1));
+                let entry = &self.holdings[holding as usize];
+                if self.seen_in_lookup[entry.host as usize] != self.lookup {
+                    self.seen_in_lookup[entry.host as usize] = self.lookup;
+                    out.push((entry.host, i as u32 + 1));
                 }
-                holding = about.next;
+                holding = entry.next;
             }
         }
     }
 
-    /// A host has read a text and holds its blocks; `short` where it held less of them than thought.
-    pub fn read(&mut self, now: Duration, host: u32, chain: &[u64], short: bool) {
-        let at = (now.as_millis() / 100).min(u128::from(u32::MAX - 1)) as u32;
-        self.learn_room(host, short);
-        // More than it can hold it does not hold: the text's beginning stays.
-        let room = self.host(host).room as usize;
-        let most = chain.len().min(room).min(self.most_blocks / 2).min(self.most_holdings / 2);
+    /// Records that a host has read (prefilled) a prompt and has its blocks cached now. `evicted`: it had fewer of them
+    /// cached than estimated.
+    pub fn record_read(&mut self, now: Duration, host: u32, chain: &[u64], evicted: bool) {
+        let now_ds = (now.as_millis() / 100).min(u128::from(u32::MAX - 1)) as u32;
+        self.learn_capacity(host, evicted);
+        // Of a prompt that exceeds the capacity, the beginning is recorded.
+        let capacity = self.host(host).capacity as usize;
+        let recorded = chain.len().min(capacity).min(self.max_blocks / 2).min(self.max_holdings / 2);
         self.path.clear();
         let mut path = std::mem::take(&mut self.path);
         let mut parent = NONE;
-        for hash in &chain[..most] {
-            parent = match self.find(*hash) {
+        for hash in &chain[..recorded] {
+            parent = match self.find_block(*hash) {
                 Some(block) => block,
                 None => self.add_block(*hash, parent, &path),
             };
             path.push(parent);
         }
-        // From the end, so that a block is newer than those after it.
+        // In reverse, so that each block is newer than those after it and is evicted later.
         for block in path.iter().rev() {
             self.touch_block(*block);
-            self.touch_holding(*block, host, at, &path);
+            self.touch_holding(*block, host, now_ds, &path);
         }
         self.path = path;
-        self.sweep(host, at);
+        self.sweep(host, now_ds);
     }
 
-    /// Room as observed: a host that held less than thought can hold a tenth less than it was thought to hold; one that
-    /// is full and held all may have a hundredth more. Settles a little below what it can hold.
-    fn learn_room(&mut self, host: u32, short: bool) {
+    /// Learns the capacity of a host: a tenth below the estimated number of cached blocks if some of them were evicted,
+    /// and a hundredth more if the host is full and had all of them. Settles slightly below the true capacity.
+    fn learn_capacity(&mut self, host: u32, evicted: bool) {
         let host = self.host(host);
-        if short {
-            let least = LEAST_ROOM.min(host.told);
-            host.room = (host.held - host.held / 10).clamp(least, host.told).min(host.room.max(least));
-        } else if host.held >= host.room {
-            host.room = host.room.saturating_add(host.room / 100 + 1).min(host.told);
+        if evicted {
+            let min_capacity = MIN_CAPACITY_BLOCKS.min(host.reported_capacity);
+            host.capacity = (host.held_blocks - host.held_blocks / 10)
+                .clamp(min_capacity, host.reported_capacity)
+                .min(host.capacity.max(min_capacity));
+        } else if host.held_blocks >= host.capacity {
+            host.capacity = host.capacity.saturating_add(host.capacity / 100 + 1).min(host.reported_capacity);
         }
     }
 
     fn add_block(&mut self, hash: u64, parent: u32, path: &[u32]) -> u32 {
-        if self.free_blocks == NONE && self.blocks.len() >= self.most_blocks {
-            self.drop_oldest_block(path);
+        if self.free_blocks == NONE && self.blocks.len() >= self.max_blocks {
+            self.make_room_for_block(path);
         }
         let block = Block {
             hash,
             parent,
             children: 0,
-            first: NONE,
-            holders: 0,
+            first_holding: NONE,
+            holder_count: 0,
             newer: NONE,
             older: NONE,
-            again: false,
+            reused: false,
         };
-        let at = if self.free_blocks == NONE {
+        let index = if self.free_blocks == NONE {
             self.blocks.push(block);
             self.blocks.len() as u32 - 1
         } else {
-            let at = self.free_blocks;
-            self.free_blocks = self.blocks[at as usize].older;
-            self.blocks[at as usize] = block;
-            at
+            let index = self.free_blocks;
+            self.free_blocks = self.blocks[index as usize].older;
+            self.blocks[index as usize] = block;
+            index
         };
         if parent != NONE {
             self.blocks[parent as usize].children += 1;
         }
-        self.by_hash.insert(hash, at);
-        // Known once: `touch_block` finds it in a list.
-        self.link_block(at);
-        at
+        self.by_hash.insert(hash, index);
+        // In the list of blocks requested once, as `touch_block` expects it in a list.
+        self.link_block(index);
+        index
     }
 
-    fn block_list(&mut self, again: bool) -> &mut List {
-        if again { &mut self.again } else { &mut self.once }
+    fn block_list(&mut self, reused: bool) -> &mut List {
+        if reused { &mut self.reused_list } else { &mut self.once_list }
     }
 
-    fn link_block(&mut self, at: u32) {
-        let again = self.blocks[at as usize].again;
-        let was = self.block_list(again).newest;
-        (self.blocks[at as usize].older, self.blocks[at as usize].newer) = (was, NONE);
-        match was {
-            NONE => self.block_list(again).oldest = at,
-            was => self.blocks[was as usize].newer = at,
+    fn link_block(&mut self, index: u32) {
+        let reused = self.blocks[index as usize].reused;
+        let newest = self.block_list(reused).newest;
+        (self.blocks[index as usize].older, self.blocks[index as usize].newer) = (newest, NONE);
+        match newest {
+            NONE => self.block_list(reused).oldest = index,
+            newest => self.blocks[newest as usize].newer = index,
         }
-        self.block_list(again).newest = at;
-        self.protected += usize::from(again);
+        self.block_list(reused).newest = index;
+        self.reused_count += usize::from(reused);
     }
 
-    fn unlink_block(&mut self, at: u32) {
-        let Block { newer, older, again, .. } = self.blocks[at as usize];
+    fn unlink_block(&mut self, index: u32) {
+        let Block { newer, older, reused, .. } = self.blocks[index as usize];
         match newer {
-            NONE => self.block_list(again).newest = older,
+            NONE => self.block_list(reused).newest = older,
             newer => self.blocks[newer as usize].older = older,
         }
         match older {
-            NONE => self.block_list(again).oldest = newer,
+            NONE => self.block_list(reused).oldest = newer,
             older => self.blocks[older as usize].newer = newer,
         }
-        self.protected -= usize::from(again);
+        self.reused_count -= usize::from(reused);
     }
 
-    /// It was asked for; a second time it moves up to those that came again.
-    fn touch_block(&mut self, at: u32) {
-        self.unlink_block(at);
-        // One that nobody held until now is new.
-        let block = &mut self.blocks[at as usize];
-        block.again |= block.holders > 0;
-        self.link_block(at);
-        while self.protected as f64 > PROTECTED * self.most_blocks as f64 {
-            let oldest = self.again.oldest;
+    /// Records a request for a block; with the second one it is marked as reused.
+    fn touch_block(&mut self, index: u32) {
+        self.unlink_block(index);
+        // Without a holder it is new.
+        let block = &mut self.blocks[index as usize];
+        block.reused |= block.holder_count > 0;
+        self.link_block(index);
+        while self.reused_count as f64 > REUSED_PART * self.max_blocks as f64 {
+            let oldest = self.reused_list.oldest;
             self.unlink_block(oldest);
-            self.blocks[oldest as usize].again = false;
+            self.blocks[oldest as usize].reused = false;
             self.link_block(oldest);
         }
     }
 
-    /// Makes room for a block: one that came once goes first, in each kind the oldest, never one of `path`.
-    fn drop_oldest_block(&mut self, path: &[u32]) {
-        for list in [self.once, self.again] {
-            let mut at = list.oldest;
-            while at != NONE {
-                let block = &self.blocks[at as usize];
-                if block.children == 0 && !path.contains(&at) {
-                    return self.drop_block(at);
+    /// Makes room for a block: drops the oldest one without children that was requested once, otherwise the oldest reused
+    /// one. Blocks of `path` are kept.
+    fn make_room_for_block(&mut self, path: &[u32]) {
+        for list in [self.once_list, self.reused_list] {
+            let mut index = list.oldest;
+            while index != NONE {
+                let block = &self.blocks[index as usize];
+                if block.children == 0 && !path.contains(&index) {
+                    return self.drop_block(index);
                 }
-                at = block.newer;
+                index = block.newer;
             }
         }
     }
 
-    fn drop_block(&mut self, at: u32) {
-        while self.blocks[at as usize].first != NONE {
-            self.drop_holding_only(self.blocks[at as usize].first);
+    /// Removes a block with its holdings.
+    fn drop_block(&mut self, index: u32) {
+        while self.blocks[index as usize].first_holding != NONE {
+            self.drop_holding_only(self.blocks[index as usize].first_holding);
         }
-        self.remove_block(at);
+        self.remove_block(index);
     }
 
-    fn remove_block(&mut self, at: u32) {
-        self.unlink_block(at);
-        let Block { hash, parent, .. } = self.blocks[at as usize];
+    /// Removes a block that has no holdings.
+    fn remove_block(&mut self, index: u32) {
+        self.unlink_block(index);
+        let Block { hash, parent, .. } = self.blocks[index as usize];
         let blocks = &self.blocks;
-        self.by_hash.remove(hash, at, |other| blocks[other as usize].hash);
+        self.by_hash.remove(hash, index, |other| blocks[other as usize].hash);
         if parent != NONE {
             self.blocks[parent as usize].children -= 1;
         }
-        (self.blocks[at as usize].older, self.free_blocks) = (self.free_blocks, at);
+        (self.blocks[index as usize].older, self.free_blocks) = (self.free_blocks, index);
     }
 
-    fn touch_holding(&mut self, block: u32, host: u32, at: u32, path: &[u32]) {
-        let doubts = self.host(host).doubts;
-        if let Some(holding) = self.pair(block, host) {
+    /// Records that a host has read a block.
+    fn touch_holding(&mut self, block: u32, host: u32, now_ds: u32, path: &[u32]) {
+        let suspicions = self.host(host).suspicions;
+        if let Some(holding) = self.find_holding(block, host) {
             self.unlink_holding(holding);
-            let about = &mut self.holdings[holding as usize];
-            (about.at, about.doubts) = (at, doubts);
+            let entry = &mut self.holdings[holding as usize];
+            (entry.last_read_ds, entry.suspicions) = (now_ds, suspicions);
             self.link_holding(holding);
             return;
         }
-        if self.free_holdings == NONE && self.holdings.len() >= self.most_holdings {
-            self.drop_one_holding(path);
-        }
-        let first = self.blocks[block as usize].first;
-        let holding =
-            Holding { block, host, at, doubts, next: first, before: NONE, newer: NONE, older: NONE };
-        let place = if self.free_holdings == NONE {
+        if self.free_holdings == NONE && self.holdings.len() >= self.max_holdings {
+            self.make_room_for_holding(path);
+        }
+        let first_holding = self.blocks[block as usize].first_holding;
+        let holding = Holding {
+            block,
+            host,
+            last_read_ds: now_ds,
+            suspicions,
+            next: first_holding,
+            previous: NONE,
+            newer: NONE,
+            older: NONE,
+        };
+        let index = if self.free_holdings == NONE {
             self.holdings.push(holding);
             self.holdings.len() as u32 - 1
         } else {
-            let place = self.free_holdings;
-            self.free_holdings = self.holdings[place as usize].older;
-            self.holdings[place as usize] = holding;
-            place
+            let index = self.free_holdings;
+            self.free_holdings = self.holdings[index as usize].older;
+            self.holdings[index as usize] = holding;
+            index
         };
-        if first != NONE {
-            self.holdings[first as usize].before = place;
+        if first_holding != NONE {
+            self.holdings[first_holding as usize].previous = index;
         }
-        self.blocks[block as usize].first = place;
-        self.blocks[block as usize].holders += 1;
-        self.by_pair.insert(mix(block, host), place);
-        self.host(host).held += 1;
-        self.link_holding(place);
+        self.blocks[block as usize].first_holding = index;
+        self.blocks[block as usize].holder_count += 1;
+        self.by_pair.insert(pair_hash(block, host), index);
+        self.host(host).held_blocks += 1;
+        self.link_holding(index);
     }
 
-    fn link_holding(&mut self, at: u32) {
-        let host = self.holdings[at as usize].host as usize;
-        let was = self.hosts[host].list.newest;
-        (self.holdings[at as usize].older, self.holdings[at as usize].newer) = (was, NONE);
-        match was {
-            NONE => self.hosts[host].list.oldest = at,
-            was => self.holdings[was as usize].newer = at,
+    fn link_holding(&mut self, index: u32) {
+        let host = self.holdings[index as usize].host as usize;
+        let newest = self.hosts[host].list.newest;
+        (self.holdings[index as usize].older, self.holdings[index as usize].newer) = (newest, NONE);
+        match newest {
+            NONE => self.hosts[host].list.oldest = index,
+            newest => self.holdings[newest as usize].newer = index,
         }
-        self.hosts[host].list.newest = at;
+        self.hosts[host].list.newest = index;
     }
 
-    fn unlink_holding(&mut self, at: u32) {
-        let Holding { host, newer, older, .. } = self.holdings[at as usize];
+    fn unlink_holding(&mut self, index: u32) {
+        let Holding { host, newer, older, .. } = self.holdings[index as usize];
         let list = &mut self.hosts[host as usize].list;
         match newer {
             NONE => list.newest = older,
@@ -416,104 +459,109 @@
         }
     }
 
-    /// Takes a holding away; its block stays, also without any.
-    fn drop_holding_only(&mut self, at: u32) {
-        self.unlink_holding(at);
-        let Holding { block, host, next, before, .. } = self.holdings[at as usize];
-        match before {
-            NONE => self.blocks[block as usize].first = next,
-            before => self.holdings[before as usize].next = next,
+    /// Removes a holding. Its block stays, even without holdings.
+    fn drop_holding_only(&mut self, index: u32) {
+        self.unlink_holding(index);
+        let Holding { block, host, next, previous, .. } = self.holdings[index as usize];
+        match previous {
+            NONE => self.blocks[block as usize].first_holding = next,
+            previous => self.holdings[previous as usize].next = next,
         }
         if next != NONE {
-            self.holdings[next as usize].before = before;
+            self.holdings[next as usize].previous = previous;
         }
-        self.blocks[block as usize].holders -= 1;
-        self.hosts[host as usize].held -= 1;
+        self.blocks[block as usize].holder_count -= 1;
+        self.hosts[host as usize].held_blocks -= 1;
         let holdings = &self.holdings;
-        let hash_of = |at: u32| mix(holdings[at as usize].block, holdings[at as usize].host);
-        self.by_pair.remove(mix(block, host), at, hash_of);
-        (self.holdings[at as usize].older, self.free_holdings) = (self.free_holdings, at);
-    }
-
-    /// Takes a host's oldest holding away, and its block where nobody holds that any more.
-    fn drop_oldest_of(&mut self, host: u32, path: &[u32]) {
-        let at = self.hosts[host as usize].list.oldest;
-        let block = self.holdings[at as usize].block;
-        self.drop_holding_only(at);
-        let about = &self.blocks[block as usize];
-        if about.holders == 0 && about.children == 0 && !path.contains(&block) {
+        let hash_of = |index: u32| pair_hash(holdings[index as usize].block, holdings[index as usize].host);
+        self.by_pair.remove(pair_hash(block, host), index, hash_of);
+        (self.holdings[index as usize].older, self.free_holdings) = (self.free_holdings, index);
+    }
+
+    /// Removes a host's oldest holding, and its block if no host has it cached any more. Blocks of `path` are kept.
+    fn drop_oldest_holding_of(&mut self, host: u32, path: &[u32]) {
+        let index = self.hosts[host as usize].list.oldest;
+        let block = self.holdings[index as usize].block;
+        self.drop_holding_only(index);
+        let entry = &self.blocks[block as usize];
+        if entry.holder_count == 0 && entry.children == 0 && !path.contains(&block) {
             self.remove_block(block);
         }
     }
 
-    /// Makes room for a holding: by a block that came once, else by the oldest of the host that has most.
-    fn drop_one_holding(&mut self, path: &[u32]) {
-        let mut at = self.once.oldest;
-        while at != NONE {
-            let block = &self.blocks[at as usize];
-            if block.children == 0 && block.holders > 0 && !path.contains(&at) {
-                return self.drop_block(at);
+    /// Makes room for a holding: drops the oldest block that was requested once, otherwise the oldest holding of the host
+    /// with most holdings. Blocks of `path` are kept.
+    fn make_room_for_holding(&mut self, path: &[u32]) {
+        let mut index = self.once_list.oldest;
+        while index != NONE {
+            let block = &self.blocks[index as usize];
+            if block.children == 0 && block.holder_count > 0 && !path.contains(&index) {
+                return self.drop_block(index);
             }
-            at = block.newer;
+            index = block.newer;
         }
-        let most = (0..).zip(&self.hosts).max_by_key(|(_, host)| host.held).map(|(at, _)| at);
-        if let Some(host) = most {
-            self.drop_oldest_of(host, path);
+        let largest = (0..).zip(&self.hosts).max_by_key(|(_, host)| host.held_blocks).map(|(index, _)| index);
+        if let Some(host) = largest {
+            self.drop_oldest_holding_of(host, path);
         }
     }
 
-    /// Lets go of what a host has no room for and of what is old, the oldest first.
-    fn sweep(&mut self, host: u32, at: u32) {
-        let old = (OLD.as_millis() / 100) as u32;
-        let mut left = SWEEP;
-        while self.hosts[host as usize].held > self.hosts[host as usize].room {
-            self.drop_oldest_of(host, &[]);
+    /// Drops a host's holdings beyond its capacity and those past the maximum age, oldest first.
+    fn sweep(&mut self, host: u32, now_ds: u32) {
+        let max_age_ds = (MAX_AGE.as_millis() / 100) as u32;
+        let mut remaining = SWEEP_LIMIT;
+        while self.hosts[host as usize].held_blocks > self.hosts[host as usize].capacity {
+            self.drop_oldest_holding_of(host, &[]);
         }
-        while left > 0 {
+        while remaining > 0 {
             let oldest = self.hosts[host as usize].list.oldest;
-            if oldest == NONE || self.holdings[oldest as usize].at.saturating_add(old) > at {
+            if oldest == NONE
+                || self.holdings[oldest as usize].last_read_ds.saturating_add(max_age_ds) > now_ds
+            {
                 return;
             }
-            self.drop_oldest_of(host, &[]);
-            left -= 1;
+            self.drop_oldest_holding_of(host, &[]);
+            remaining -= 1;
         }
     }
 
-    /// A host holds nothing any more.
-    pub fn forget(&mut self, host: u32) {
-        self.trust(host);
-        self.forget_doubted(host);
+    /// Records that a host has nothing cached any more.
+    pub fn clear_host(&mut self, host: u32) {
+        self.clear_suspicion(host);
+        self.drop_suspected_holdings(host);
     }
 
-    /// What a host is thought to hold now may be gone; what it reads from here on counts.
-    pub fn doubt(&mut self, host: u32) {
+    /// Marks a host as suspected to have lost its cache. What it reads from now on is not affected.
+    pub fn suspect(&mut self, host: u32) {
         let host = self.host(host);
-        (host.doubted, host.doubts) = (true, host.doubts.wrapping_add(1));
+        (host.suspected, host.suspicions) = (true, host.suspicions.wrapping_add(1));
     }
 
-    /// Whether a host is doubted, and has read a text up to this block since.
-    pub fn since_doubt(&self, host: u32, hash: u64) -> bool {
-        let Some(about) = self.hosts.get(host as usize).filter(|host| host.doubted) else { return false };
-        let holding = self.find(hash).and_then(|block| self.pair(block, host));
-        holding.is_some_and(|at| self.holdings[at as usize].doubts == about.doubts)
+    /// Whether a host is suspected and has read a prompt up to this block since the suspicion began.
+    pub fn read_since_suspicion(&self, host: u32, hash: u64) -> bool {
+        let Some(entry) = self.hosts.get(host as usize).filter(|host| host.suspected) else { return false };
+        let holding = self.find_block(hash).and_then(|block| self.find_holding(block, host));
+        holding.is_some_and(|index| self.holdings[index as usize].suspicions == entry.suspicions)
     }
 
-    pub fn trust(&mut self, host: u32) {
-        self.host(host).doubted = false;
+    /// Ends the suspicion of a host; its holdings stay.
+    pub fn clear_suspicion(&mut self, host: u32) {
+        self.host(host).suspected = false;
     }
 
-    /// A host holds no more what it was thought to hold when its doubt began, or now where it was not doubted.
-    pub fn forget_doubted(&mut self, host: u32) {
-        if !self.host(host).doubted {
-            self.doubt(host);
+    /// Records that a host has lost its cache: drops the holdings from before its suspicion began, or all of them if it is
+    /// not suspected.
+    pub fn drop_suspected_holdings(&mut self, host: u32) {
+        if !self.host(host).suspected {
+            self.suspect(host);
         }
-        let Host { doubts, mut list, .. } = self.hosts[host as usize];
-        // The oldest first: all from before its doubt come before those since.
-        while list.oldest != NONE && self.holdings[list.oldest as usize].doubts != doubts {
-            self.drop_oldest_of(host, &[]);
+        let Host { suspicions, mut list, .. } = self.hosts[host as usize];
+        // Oldest first: all holdings from before the suspicion come before those read since.
+        while list.oldest != NONE && self.holdings[list.oldest as usize].suspicions != suspicions {
+            self.drop_oldest_holding_of(host, &[]);
             list = self.hosts[host as usize].list;
         }
         let host = self.host(host);
-        (host.room, host.doubted) = (host.told, false);
+        (host.capacity, host.suspected) = (host.reported_capacity, false);
     }
 }
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -1,6 +1,10 @@
-//! Which host still holds which opening text, and how far that is to be believed. Prompts are chains of hashed blocks
-//! ([`chain`]); what reads told is kept by block and host ([`index`]); what reads bore out is weighed by host and over
-//! the fleet ([`belief`]). No I/O, no clock, no chance: moments are told, the key of the hash is given.
+//! Estimates which host has which prompt prefixes cached, and with which confidence.
+//!
+//! Prompts are chains of hashed blocks ([`chain`]). Reads (prefills) are recorded by block and host ([`index`]). Comparing
+//! the estimates with what reads find cached gives a confidence per host and detects hosts, or whole fleets, that have
+//! lost their caches ([`belief`]). [`follow`] processes the cache events of engines that publish them.
+//!
+//! No I/O, no clock and no randomness: the caller passes the time and the key of the hash.
 
 pub mod belief;
 pub mod chain;
@@ -8,84 +12,86 @@
 pub mod index;
 mod places;
 
-use belief::{Beliefs, Sign};
+use belief::{Confidence, Evidence};
 use index::Index;
 use std::time::Duration;
 
-/// What a host is thought to hold of one prompt.
+/// What a host is estimated to have cached of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Kept {
     pub host: u32,
-    /// Blocks of the prompt's start.
+    /// Number of blocks from the start of the prompt.
     pub blocks: u32,
-    /// How far that is believed, 0 to 1.
+    /// Confidence in the estimate, 0 to 1.
     pub belief: f64,
 }
 
-/// The index with what is believed of it.
+/// The index together with the confidence in it.
 pub struct Prefixes {
     index: Index,
-    beliefs: Beliefs,
+    confidence: Confidence,
+    /// Scratch space: the hosts found, with their numbers of blocks.
     found: Vec<(u32, u32)>,
 }
 
 impl Prefixes {
-    /// Takes this much memory at once, and no more later.
+    /// An index of at most `bytes` bytes. Almost all of the memory is allocated now.
     pub fn new(bytes: usize) -> Self {
-        Prefixes { index: Index::new(bytes), beliefs: Beliefs::default(), found: Vec::new() }
+        Prefixes { index: Index::new(bytes), confidence: Confidence::default(), found: Vec::new() }
     }
 
     pub fn index(&self) -> &Index {
         &self.index
     }
 
-    /// What is known of a host: blocks held, and how far that is believed.
+    /// A host's number of cached blocks as estimated, and the confidence in it.
     pub fn host(&self, now: Duration, host: u32) -> (u32, f64) {
-        (self.index.held(host), self.beliefs.of(now, host))
+        (self.index.held_blocks(host), self.confidence.of(now, host))
     }
 
-    /// Whether many hosts contradict the index just now.
+    /// Whether many hosts contradict the index at present.
     pub fn doubted(&self) -> bool {
-        self.beliefs.doubted()
+        self.confidence.fleet_suspected()
     }
 
-    /// A host is listed: what it can keep, in blocks, where told; `fresh` where its process has begun anew.
-    pub fn listed(&mut self, host: u32, most: Option<u32>, fresh: bool) {
-        self.index.room(host, most.unwrap_or(u32::MAX));
-        if fresh {
-            self.forgot(host);
+    /// Updates a host from the host list: its cache capacity in blocks, where known; `restarted` if its process is a new
+    /// one, with an empty cache.
+    pub fn listed(&mut self, host: u32, capacity: Option<u32>, restarted: bool) {
+        self.index.set_capacity(host, capacity.unwrap_or(u32::MAX));
+        if restarted {
+            self.clear_host(host);
         }
     }
 
-    /// A host holds nothing any more, as it said or as its process is gone.
-    pub fn forgot(&mut self, host: u32) {
-        self.index.forget(host);
-        self.beliefs.anew(host);
+    /// Records that a host has nothing cached any more, because it reported so or its process is gone.
+    pub fn clear_host(&mut self, host: u32) {
+        self.index.clear_host(host);
+        self.confidence.reset(host);
     }
 
-    /// What each host is thought to hold of a prompt; hosts that hold nothing are left out.
+    /// Estimates what each host has cached of a prompt. Hosts without any of it are left out.
     pub fn ask(&mut self, now: Duration, chain: &[u64], out: &mut Vec<Kept>) {
         out.clear();
         self.index.look_up(chain, &mut self.found);
         for &(host, blocks) in &self.found {
-            // What it has read since its doubt began is not what is doubted.
-            let anew = self.index.since_doubt(host, chain[blocks as usize - 1]);
-            let belief = if anew { 1.0 } else { self.beliefs.of(now, host) };
+            // What the host has read since its suspicion began is not in doubt.
+            let read_since = self.index.read_since_suspicion(host, chain[blocks as usize - 1]);
+            let belief = if read_since { 1.0 } else { self.confidence.of(now, host) };
             out.push(Kept { host, blocks, belief });
         }
     }
 
-    /// A host has read a prompt: it found `found` blocks kept where `thought` were thought so, and holds all now. True if
-    /// it had forgotten.
-    pub fn read(&mut self, now: Duration, host: u32, chain: &[u64], thought: u32, found: u32) -> bool {
-        let sign = self.beliefs.note(now, host, thought, found);
-        match sign {
-            Sign::Contradicts => self.index.doubt(host),
-            Sign::Forgot => self.index.forget_doubted(host),
-            Sign::Sound | Sign::Evicted => self.index.trust(host),
-            Sign::Silent => {}
+    /// Records that a host has read (prefilled) a prompt: `estimated` of its blocks were estimated to be cached, `found` were
+    /// cached, and all are cached now. Returns whether the read shows that the host had lost its cache.
+    pub fn read(&mut self, now: Duration, host: u32, chain: &[u64], estimated: u32, found: u32) -> bool {
+        let evidence = self.confidence.record_read(now, host, estimated, found);
+        match evidence {
+            Evidence::Contradicts => self.index.suspect(host),
+            Evidence::CacheLost => self.index.drop_suspected_holdings(host),
+            Evidence::Confirms | Evidence::Evicted => self.index.clear_suspicion(host),
+            Evidence::TooLittle => {}
         }
-        self.index.read(now, host, chain, sign == Sign::Evicted);
-        sign == Sign::Forgot
+        self.index.record_read(now, host, chain, evidence == Evidence::Evicted);
+        evidence == Evidence::CacheLost
     }
 }
--- a/crates/prefix/tests/belief.rs
+++ b/crates/prefix/tests/belief.rs
@@ -1,7 +1,7 @@
-//! How far the index is believed, as tables: one host, a mass forget, what costs and when it returns.
+//! Confidence in the index: a single host, and many hosts that lose their caches at once.
 
 use std::time::Duration;
-use tulipstall_prefix::belief::{Beliefs, Sign};
+use tulipstall_prefix::belief::{Confidence, Evidence};
 use tulipstall_prefix::chain::Key;
 use tulipstall_prefix::{Kept, Prefixes};
 
@@ -10,75 +10,83 @@
 }
 
 #[test]
-fn one_host_is_believed_as_far_as_its_reads_bear_out() {
-    // Reads as (thought, found); whether it has forgotten by the last of them, and the belief after it.
-    type Case = (&'static str, &'static [(u32, u32)], Sign, f64, f64);
+fn confidence_in_a_host_follows_its_reads() {
+    // Reads as (estimated, found); the evidence of the last one; the bounds of the confidence after it.
+    type Case = (&'static str, &'static [(u32, u32)], Evidence, f64, f64);
     let cases: [Case; 9] = [
-        ("nothing known", &[], Sign::Silent, 1.0, 1.0),
-        ("borne out", &[(10, 10), (40, 40)], Sign::Sound, 1.0, 1.0),
-        ("ends of texts are evicted", &[(40, 30), (40, 30), (40, 30), (40, 30)], Sign::Evicted, 0.7, 0.85),
-        ("within what counting differs by", &[(40, 33), (40, 33)], Sign::Sound, 0.8, 0.95),
-        ("one plain contradiction", &[(40, 0)], Sign::Contradicts, 0.2, 0.4),
-        ("two of them", &[(40, 0), (40, 0)], Sign::Forgot, 1.0, 1.0),
-        ("two with one that was right between", &[(40, 0), (40, 40), (40, 0)], Sign::Contradicts, 0.3, 0.6),
-        ("too little to tell", &[(3, 0), (3, 0), (3, 0)], Sign::Silent, 1.0, 1.0),
-        ("more than thought is no sign", &[(10, 50)], Sign::Sound, 1.0, 1.0),
+        ("nothing known", &[], Evidence::TooLittle, 1.0, 1.0),
+        ("confirmed", &[(10, 10), (40, 40)], Evidence::Confirms, 1.0, 1.0),
+        ("ends of texts evicted", &[(40, 30), (40, 30), (40, 30), (40, 30)], Evidence::Evicted, 0.7, 0.85),
+        ("within the difference of token counts", &[(40, 33), (40, 33)], Evidence::Confirms, 0.8, 0.95),
+        ("one contradiction", &[(40, 0)], Evidence::Contradicts, 0.2, 0.4),
+        ("two contradictions in a row", &[(40, 0), (40, 0)], Evidence::CacheLost, 1.0, 1.0),
+        (
+            "two contradictions with a confirmation between them",
+            &[(40, 0), (40, 40), (40, 0)],
+            Evidence::Contradicts,
+            0.3,
+            0.6,
+        ),
+        ("estimates too small for evidence", &[(3, 0), (3, 0), (3, 0)], Evidence::TooLittle, 1.0, 1.0),
+        ("more found than estimated", &[(10, 50)], Evidence::Confirms, 1.0, 1.0),
     ];
-    for (what, reads, forgot, least, most) in cases {
-        let mut beliefs = Beliefs::default();
-        let mut last = Sign::Silent;
-        for (i, (thought, found)) in reads.iter().enumerate() {
-            last = beliefs.note(s(i as f64), 5, *thought, *found);
+    for (what, reads, evidence, min, max) in cases {
+        let mut confidence = Confidence::default();
+        let mut last = Evidence::TooLittle;
+        for (i, (estimated, found)) in reads.iter().enumerate() {
+            last = confidence.record_read(s(i as f64), 5, *estimated, *found);
         }
-        assert_eq!(last, forgot, "{what}");
-        let belief = beliefs.of(s(9.0), 5);
-        assert!((least..=most).contains(&belief), "{what}: {belief}");
+        assert_eq!(last, evidence, "{what}");
+        let value = confidence.of(s(9.0), 5);
+        assert!((min..=max).contains(&value), "{what}: {value}");
         assert!(
-            beliefs.of(s(9.0), 6) == 1.0 && !beliefs.doubted(),
-            "{what}: another host is not doubted for it"
+            confidence.of(s(9.0), 6) == 1.0 && !confidence.fleet_suspected(),
+            "{what}: it affects another host"
         );
     }
 }
 
-/// Ten hosts, seven of which forget at once: how many reads are sent in vain, and that the sound ones are believed again.
+/// Seven of ten hosts lose their caches at once. Guards against one wasted read per text, and against lasting suspicion of
+/// the other hosts.
 #[test]
-fn a_mass_forget_costs_a_read_or_two_a_host() {
-    let mut beliefs = Beliefs::default();
+fn a_mass_cache_loss_costs_one_or_two_reads_per_host() {
+    let mut confidence = Confidence::default();
     for host in 0..10 {
-        assert_eq!(beliefs.note(s(1.0), host, 40, 40), Sign::Sound);
+        assert_eq!(confidence.record_read(s(1.0), host, 40, 40), Evidence::Confirms);
     }
-    let (mut vain, mut now) = (0, 2.0);
+    let (mut wasted, mut now) = (0, 2.0);
     for host in 0..7 {
-        let mut forgot = false;
-        while !forgot {
+        let mut cache_lost = false;
+        while !cache_lost {
             now += 0.1;
-            vain += 1;
-            forgot = beliefs.note(s(now), host, 40, 0) == Sign::Forgot;
+            wasted += 1;
+            cache_lost = confidence.record_read(s(now), host, 40, 0) == Evidence::CacheLost;
         }
-        assert!(beliefs.of(s(now), host) == 1.0, "what it reads from here on is known");
-        // From the fourth of ten on the fleet is doubted, also those that have said nothing yet.
-        assert_eq!(beliefs.doubted(), host >= 2, "{host}");
+        assert!(confidence.of(s(now), host) == 1.0, "host {host}: new reads have full confidence");
+        // From the third of ten hosts on the fleet is suspected, with the hosts that have not read anything since.
+        assert_eq!(confidence.fleet_suspected(), host >= 2, "host {host}");
         if host >= 2 {
-            assert!(beliefs.of(s(now), 9) < 0.75, "{host}: {}", beliefs.of(s(now), 9));
+            assert!(confidence.of(s(now), 9) < 0.75, "host {host}: {}", confidence.of(s(now), 9));
         }
     }
-    // Two each for the first three, until the fleet is doubted; one each for the other four.
-    assert_eq!(vain, 10);
+    // Two each for the first three hosts, until the fleet is suspected; one each for the other four.
+    assert_eq!(wasted, 10);
     for host in 7..10 {
         now += 0.1;
-        assert_eq!(beliefs.note(s(now), host, 40, 40), Sign::Sound);
-        assert_eq!(beliefs.of(s(now), host), 1.0, "heard of since, and sound");
+        assert_eq!(confidence.record_read(s(now), host, 40, 40), Evidence::Confirms);
+        assert_eq!(confidence.of(s(now), host), 1.0, "host {host} has confirmed the index since");
     }
     for host in 0..7 {
         now += 0.1;
-        assert_eq!(beliefs.note(s(now), host, 40, 40), Sign::Sound);
+        assert_eq!(confidence.record_read(s(now), host, 40, 40), Evidence::Confirms);
     }
-    assert!(!beliefs.doubted(), "all say that it is over");
+    assert!(!confidence.fleet_suspected(), "no host contradicts the index any more");
 }
 
-/// The same through the index: nothing is steered to what a host has lost, and what it reads anew is known at once.
+/// The same with the index: a host that has lost its cache is no longer reported for the lost texts, and what it reads
+/// afterwards is reported at once with full confidence.
 #[test]
-fn a_host_that_has_forgotten_is_known_by_what_it_reads_anew() {
+fn after_a_cache_loss_only_new_reads_count() {
     let key = Key([7; 16]);
     let chain = |text: u32| {
         let mut out = Vec::new();
@@ -87,33 +95,36 @@
     };
     let mut prefixes = Prefixes::new(1 << 20);
     prefixes.listed(0, Some(10_000), false);
-    let mut kept: Vec<Kept> = Vec::new();
+    let mut estimates: Vec<Kept> = Vec::new();
     for text in 0..50 {
         prefixes.read(s(1.0), 0, &chain(text), 0, 0);
     }
     for text in 0..2 {
-        prefixes.ask(s(2.0), &chain(text), &mut kept);
-        let thought = kept[0].blocks;
-        assert_eq!(thought as usize, chain(text).len());
-        prefixes.read(s(2.0), 0, &chain(text), thought, 0);
-        // A text that nobody held comes between the two that show it: known at once, while the others are doubted.
+        prefixes.ask(s(2.0), &chain(text), &mut estimates);
+        let estimated = estimates[0].blocks;
+        assert_eq!(estimated as usize, chain(text).len());
+        prefixes.read(s(2.0), 0, &chain(text), estimated, 0);
+        // A new text between the two contradictions has full confidence at once, while the old ones are suspected.
         prefixes.read(s(2.0), 0, &chain(60 + text), 0, 0);
-        for (of, believed) in [(text, true), (60 + text, true), (49, false)] {
-            prefixes.ask(s(2.0), &chain(of), &mut kept);
-            let sure = kept.first().is_some_and(|kept| kept.belief == 1.0);
-            assert_eq!(sure, believed, "{of} after {text}");
+        for (other, expected) in [(text, true), (60 + text, true), (49, false)] {
+            prefixes.ask(s(2.0), &chain(other), &mut estimates);
+            let certain = estimates.first().is_some_and(|estimate| estimate.belief == 1.0);
+            assert_eq!(certain, expected, "text {other} after text {text}");
         }
     }
     for text in 2..50 {
-        prefixes.ask(s(3.0), &chain(text), &mut kept);
-        assert!(kept.is_empty(), "{text} is gone");
+        prefixes.ask(s(3.0), &chain(text), &mut estimates);
+        assert!(estimates.is_empty(), "text {text} is still reported");
     }
     for text in [0, 1, 60, 61] {
-        prefixes.ask(s(3.0), &chain(text), &mut kept);
-        assert_eq!((kept.len(), kept[0].blocks as usize, kept[0].belief), (1, chain(text).len(), 1.0));
+        prefixes.ask(s(3.0), &chain(text), &mut estimates);
+        assert_eq!(
+            (estimates.len(), estimates[0].blocks as usize, estimates[0].belief),
+            (1, chain(text).len(), 1.0)
+        );
     }
-    // Its process began anew: nothing is left.
+    // The host was restarted: nothing is cached any more.
     prefixes.listed(0, Some(10_000), true);
-    prefixes.ask(s(4.0), &chain(1), &mut kept);
-    assert!(kept.is_empty());
+    prefixes.ask(s(4.0), &chain(1), &mut estimates);
+    assert!(estimates.is_empty());
 }
--- a/crates/prefix/tests/flood.rs
+++ b/crates/prefix/tests/flood.rs
@@ -41,9 +41,9 @@
         let now = Duration::from_millis(i as u64 * 5);
         // One in ten asks for a text in demand.
         if i % 10 == 0 {
-            index.read(now, (i % hosts) as u32, &demanded[(i / 10) % 20], false);
+            index.record_read(now, (i % hosts) as u32, &demanded[(i / 10) % 20], false);
         }
-        index.read(now, ((i * 7) % hosts) as u32, flood, false);
+        index.record_read(now, ((i * 7) % hosts) as u32, flood, false);
         most = most.max(MEMORY.allocated().saturating_sub(before));
         if i > 400 {
             assert_eq!(hits(&mut index, &mut found), 20, "at text {i}");
--- a/crates/prefix/tests/model.rs
+++ b/crates/prefix/tests/model.rs
@@ -57,11 +57,11 @@
             let host = chance.random_range(0..hosts);
             match chance.random_range(0..20) {
                 0 => {
-                    index.forget(host);
+                    index.clear_host(host);
                     model.0.remove(&host);
                 }
                 1..=8 => {
-                    index.read(Duration::from_millis(step * 10), host, &chain, false);
+                    index.record_read(Duration::from_millis(step * 10), host, &chain, false);
                     model.0.entry(host).or_default().extend(&chain);
                 }
                 _ => {
@@ -87,7 +87,7 @@
         let mut model = Model::default();
         let room = chance.random_range(10..60);
         for host in 0..6 {
-            index.room(host, room);
+            index.set_capacity(host, room);
         }
         for step in 0..600u64 {
             let choices: Vec<u32> =
@@ -96,14 +96,14 @@
             let host = chance.random_range(0..6);
             match chance.random_range(0..25) {
                 0 => {
-                    index.forget(host);
+                    index.clear_host(host);
                     model.0.remove(&host);
-                    assert_eq!(index.held(host), 0);
+                    assert_eq!(index.held_blocks(host), 0);
                 }
                 1..=14 => {
-                    index.read(Duration::from_millis(step * 10), host, &chain, false);
+                    index.record_read(Duration::from_millis(step * 10), host, &chain, false);
                     model.0.entry(host).or_default().extend(&chain);
-                    assert!(index.held(host) <= room, "seed {seed} step {step}");
+                    assert!(index.held_blocks(host) <= room, "seed {seed} step {step}");
                     // The beginning at least of what it has just read.
                     assert!(
                         chain.is_empty() || runs(&mut index, &chain).contains_key(&host),
@@ -125,10 +125,10 @@
 fn what_is_old_goes() {
     let mut index = Index::new(1 << 20);
     let (old, new) = (chain(&text(&[1, 1, 1])), chain(&text(&[2, 2, 2])));
-    index.read(Duration::ZERO, 0, &old, false);
-    index.read(Duration::from_secs(599), 0, &new, false);
+    index.record_read(Duration::ZERO, 0, &old, false);
+    index.record_read(Duration::from_secs(599), 0, &new, false);
     assert_eq!(runs(&mut index, &old).get(&0), Some(&(old.len() as u32)));
-    index.read(Duration::from_secs(601), 0, &new, false);
+    index.record_read(Duration::from_secs(601), 0, &new, false);
     assert!(runs(&mut index, &old).is_empty());
     assert_eq!(index.sizes().0, new.len(), "blocks that nobody holds go with them");
 }
