--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -5,7 +5,7 @@
 //! prompt back to the first gives the longest run of each host, and may skip blocks with as many hosts as the block
 //! after them.
 
-use crate::places::EntryTable;
+use crate::entry_table::EntryTable;
 use std::time::Duration;
 
 const NONE: u32 = u32::MAX;
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! Prompts are chains of hashed blocks ([`chain`]). Reads (prefills) are recorded by block and host ([`index`]). Comparing
 //! the estimates with what reads find cached gives a confidence per host and detects hosts, or whole fleets, that have
-//! lost their caches ([`belief`]). [`follow`] processes the cache events of engines that publish them.
+//! lost their caches ([`confidence`]). [`follow`] processes the cache events of engines that publish them.
 //!
 //! No I/O, no clock and no randomness: the caller passes the time and the key of the hash.
 
-pub mod belief;
 pub mod chain;
+pub mod confidence;
+mod entry_table;
 pub mod follow;
 pub mod index;
-mod places;
 
-use belief::{Confidence, Evidence};
+use confidence::{Confidence, Evidence};
 use index::Index;
 use std::time::Duration;
 
--- a/crates/prefix/tests/belief.rs
+++ b/crates/prefix/tests/confidence.rs
@@ -1,8 +1,8 @@
 //! Confidence in the index: a single host, and many hosts that lose their caches at once.
 
 use std::time::Duration;
-use tulipstall_prefix::belief::{Confidence, Evidence};
 use tulipstall_prefix::chain::Key;
+use tulipstall_prefix::confidence::{Confidence, Evidence};
 use tulipstall_prefix::{Kept, Prefixes};
 
 fn s(seconds: f64) -> Duration {
