--- a/crates/prefix/benches/index.rs
+++ b/crates/prefix/benches/index.rs
@@ -1,5 +1,5 @@
-//! What the index costs: look-ups and reads by hosts, blocks and prompt length, bytes a block. Ratios of one run where they
-//! say anything; nothing here fails on a figure.
+//! Cost of the index: look-ups and reads by number of hosts and blocks and by prompt length, and tokens per memory. Ratios
+//! within one run are more meaningful than absolute times. No result makes the benchmark fail.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,15 +10,16 @@
 
 const KEY: Key = Key(*b"0123456789abcdef");
 
-/// A text of so many tokens whose first `shared` are those of all texts of its number.
-fn chain(shared_text: u32, shared: u32, own: u64, tokens: u32) -> Vec<u64> {
+/// The chain of a text of `tokens` tokens, the first `shared_tokens` of which are the same for all texts with the same
+/// `shared_text`.
+fn chain(shared_text: u32, shared_tokens: u32, own_text: u64, tokens: u32) -> Vec<u64> {
     let mut text = String::new();
-    while text.len() < (shared * 4) as usize {
+    while text.len() < (shared_tokens * 4) as usize {
         text.push_str(&format!("{shared_text:08x} "));
     }
-    text.truncate((shared * 4) as usize);
+    text.truncate((shared_tokens * 4) as usize);
     while text.len() < (tokens * 4) as usize {
-        text.push_str(&format!("{own:016x} "));
+        text.push_str(&format!("{own_text:016x} "));
     }
     let mut out = Vec::new();
     KEY.chain(0, &text, &mut out);
@@ -32,26 +33,26 @@
 
 fn main() {
     let text = "the ferry leaves at eight ".repeat(5000);
-    let began = Instant::now();
+    let start = Instant::now();
     let mut out = Vec::new();
     KEY.chain(0, &text[..128_000], &mut out);
     println!(
         "hashing a 32,000-token prompt: {:.0} us, {} blocks",
-        began.elapsed().as_nanos() as f64 / 1e3,
+        start.elapsed().as_nanos() as f64 / 1e3,
         out.len()
     );
     for hosts in [64u32, 512, 4096] {
         let mut index = Index::new(512 << 20);
-        let mut chance = Pcg64Mcg::seed_from_u64(1);
-        // Each of 40 shared texts of 1,000 tokens is held by a tenth of the hosts; each host holds thirty sessions of it.
+        let mut rng = Pcg64Mcg::seed_from_u64(1);
+        // Each of 40 shared texts of 1,000 tokens is cached at a tenth of the hosts; each host has thirty sessions.
         let (mut reads, mut prompts) = (Vec::new(), Vec::new());
         for host in 0..hosts {
             for i in 0..30u64 {
-                let shared = (host * 4 + chance.random_range(0..4)) % 40;
+                let shared = (host * 4 + rng.random_range(0..4)) % 40;
                 let prompt = chain(shared, 1000, u64::from(host) << 32 | i, 2000);
-                let began = Instant::now();
+                let start = Instant::now();
                 index.record_read(Duration::from_secs(1), host, &prompt, false);
-                reads.push(began.elapsed());
+                reads.push(start.elapsed());
                 if i < 2 {
                     prompts.push(prompt);
                 }
@@ -62,9 +63,9 @@
         let mut found = 0;
         for _ in 0..20 {
             for prompt in prompts.iter().take(500) {
-                let began = Instant::now();
+                let start = Instant::now();
                 index.look_up(black_box(prompt), &mut out);
-                times.push(began.elapsed());
+                times.push(start.elapsed());
                 found += out.len();
             }
         }
@@ -72,9 +73,9 @@
         index.record_read(Duration::from_secs(1), 0, &longest, false);
         let long: Vec<Duration> = (0..100)
             .map(|_| {
-                let began = Instant::now();
+                let start = Instant::now();
                 index.look_up(black_box(&longest), &mut out);
-                began.elapsed()
+                start.elapsed()
             })
             .collect();
         let (blocks, held) = index.sizes();
@@ -85,25 +86,25 @@
             median(long),
             median(reads),
         );
-        // All hosts hold one text: the worst case of a walk.
+        // The worst case of a look-up: all hosts have the same text cached.
         let common = chain(99, 2000, 0, 2000);
         for host in 0..hosts {
             index.record_read(Duration::from_secs(1), host, &common, false);
         }
         let worst: Vec<Duration> = (0..100)
             .map(|_| {
-                let began = Instant::now();
+                let start = Instant::now();
                 index.look_up(black_box(&common), &mut out);
-                began.elapsed()
+                start.elapsed()
             })
             .collect();
-        let began = Instant::now();
+        let start = Instant::now();
         index.clear_host(0);
         println!(
             "{:>5} of which all hold one text: {:>6.1} us; a host forgets in {:.0} us",
             hosts,
             median(worst),
-            began.elapsed().as_nanos() as f64 / 1e3
+            start.elapsed().as_nanos() as f64 / 1e3
         );
     }
     let index = Index::new(64 << 20);
--- a/crates/prefix/src/follow.rs
+++ b/crates/prefix/src/follow.rs
@@ -1,174 +1,190 @@
-//! Following an engine that publishes what it keeps: blocks stored, with their parent, blocks removed, all cleared, in
-//! numbered batches, with a way to ask for those from a number on again (the event vocabulary that public serving engines
-//! share). Batches come late, twice, in another order or not at all; an engine starts anew and counts from nought; its past
-//! may reach less far back than a gap. What comes out is in order, or says that all known before is void. No I/O.
+//! Follows an engine that publishes the contents of its cache as events: blocks stored, with their parent, blocks removed,
+//! cache cleared. The events come in numbered batches, and a replay from a given number on can be requested. These are the
+//! events that public serving engines have in common.
+//!
+//! Batches may be late, duplicated, reordered or lost; an engine may restart and count from 0 again; its replay buffer may
+//! not reach back to the start of a gap. The follower's output is in order, or says that everything known is invalid. No I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Batches held behind a gap: a second of a busy engine's. More, and asking again takes longer than beginning anew.
-const HELD: usize = 256;
+/// Maximum number of batches that wait behind a gap: about one second of a busy engine's events. Beyond that, a replay
+/// takes longer than starting again from nothing.
+const MAX_PENDING_BATCHES: usize = 256;
 
+/// An event of an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    Stored { blocks: Vec<u64>, parent: Option<u64> },
-    Removed { blocks: Vec<u64> },
+pub enum CacheEvent {
+    /// Blocks stored, each the parent of the next one; `parent` is that of the first.
+    Stored {
+        blocks: Vec<u64>,
+        parent: Option<u64>,
+    },
+    Removed {
+        blocks: Vec<u64>,
+    },
+    /// All blocks are gone, or nothing known before is valid any more.
     Cleared,
 }
 
+/// A numbered batch of events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     pub number: u64,
-    /// What differs between two lives of an engine, where it tells that.
-    pub life: Option<u64>,
-    pub told: Vec<Told>,
+    /// Identifies the run of the engine's process, where the engine reports it; differs after a restart.
+    pub incarnation: Option<u64>,
+    pub events: Vec<CacheEvent>,
 }
 
-/// What the follower wants next.
+/// What the follower needs next from the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Request {
     Nothing,
-    /// All batches from this number on.
-    Again {
+    /// A replay of all batches from this number on.
+    Replay {
         from: u64,
     },
 }
 
-/// Where in an engine's numbers a follower is.
+/// Puts the batches of one engine in order and detects gaps and restarts.
 #[derive(Debug, Default)]
 pub struct Follower {
-    /// The number that comes next; absent before the first word.
+    /// Number of the next batch; absent before the first one.
     next: Option<u64>,
-    life: Option<u64>,
-    held: BTreeMap<u64, Vec<Told>>,
-    /// Asked for from this number, and not answered yet.
-    asked: Option<u64>,
+    incarnation: Option<u64>,
+    pending: BTreeMap<u64, Vec<CacheEvent>>,
+    /// Start of the requested replay that has not arrived yet.
+    requested_from: Option<u64>,
 }
 
 impl Follower {
-    /// The number that comes next, which a new connection asks for.
+    /// Number of the next batch, from which a new connection requests a replay.
     pub fn next(&self) -> u64 {
         self.next.unwrap_or(0)
     }
 
-    /// A batch came, live or again; what is in order now is appended.
-    pub fn batch(&mut self, batch: Batch, out: &mut Vec<Told>) -> Want {
-        let begins_anew = match (self.life, batch.life) {
-            (Some(was), Some(is)) => was != is,
-            // Nought once more, and not asked for: the engine counts anew. A first batch that came twice costs what was
-            // known; that a new life were missed would leave what is not kept.
-            _ => batch.number == 0 && self.next() > 0 && self.asked.is_none(),
+    /// Receives a batch, live or replayed. Appends the events that are in order now to `out`.
+    pub fn receive(&mut self, batch: Batch, out: &mut Vec<CacheEvent>) -> Request {
+        let restarted = match (self.incarnation, batch.incarnation) {
+            (Some(previous), Some(current)) => previous != current,
+            // Number 0 again without a replay request: taken for a restart. A duplicated first batch then costs the known
+            // blocks. Otherwise a restart could be missed, and blocks that are no longer cached would stay known.
+            _ => batch.number == 0 && self.next() > 0 && self.requested_from.is_none(),
         };
-        if begins_anew {
-            self.void(0, out);
+        if restarted {
+            self.invalidate(0, out);
         }
-        self.life = batch.life.or(self.life);
+        self.incarnation = batch.incarnation.or(self.incarnation);
         let next = *self.next.get_or_insert(0);
         if batch.number < next {
-            return Want::Nothing;
+            return Request::Nothing;
         }
-        self.held.insert(batch.number, batch.told);
-        if self.held.len() > HELD {
-            // Too far behind: what is known is void, and begins with the newest.
-            let newest = self.held.last_key_value().map_or(next, |(number, _)| *number);
-            let last = self.held.remove(&newest);
-            self.void(newest, out);
-            self.held.extend(last.map(|last| (newest, last)));
+        self.pending.insert(batch.number, batch.events);
+        if self.pending.len() > MAX_PENDING_BATCHES {
+            // Too far behind: everything known is invalid, and it starts again from the newest batch.
+            let newest = self.pending.last_key_value().map_or(next, |(number, _)| *number);
+            let last = self.pending.remove(&newest);
+            self.invalidate(newest, out);
+            self.pending.extend(last.map(|last| (newest, last)));
         }
-        self.in_order(out);
-        self.want()
+        self.emit_in_order(out);
+        self.next_request()
     }
 
-    /// The engine's answer to being asked again: it goes back to this number only.
-    pub fn reaches_back_to(&mut self, oldest: u64, out: &mut Vec<Told>) -> Want {
-        self.asked = None;
+    /// The engine's answer to a replay request: its replay buffer starts with batch number `oldest`.
+    pub fn replay_starts_at(&mut self, oldest: u64, out: &mut Vec<CacheEvent>) -> Request {
+        self.requested_from = None;
         if oldest > self.next() {
-            let held = std::mem::take(&mut self.held);
-            self.void(oldest, out);
-            self.held = held.into_iter().filter(|(number, _)| *number >= oldest).collect();
+            let pending = std::mem::take(&mut self.pending);
+            self.invalidate(oldest, out);
+            self.pending = pending.into_iter().filter(|(number, _)| *number >= oldest).collect();
         }
-        self.in_order(out);
-        self.want()
+        self.emit_in_order(out);
+        self.next_request()
     }
 
-    /// The connection broke: what was asked for may never come.
-    pub fn broke(&mut self) -> Want {
-        self.asked = None;
-        Want::Again { from: self.next() }
+    /// The connection was lost: a requested replay may never arrive.
+    pub fn connection_lost(&mut self) -> Request {
+        self.requested_from = None;
+        Request::Replay { from: self.next() }
     }
 
-    fn void(&mut self, next: u64, out: &mut Vec<Told>) {
-        out.push(Told::Cleared);
-        self.held.clear();
-        (self.next, self.asked) = (Some(next), None);
+    /// Invalidates everything known; the next batch has the number `next`.
+    fn invalidate(&mut self, next: u64, out: &mut Vec<CacheEvent>) {
+        out.push(CacheEvent::Cleared);
+        self.pending.clear();
+        (self.next, self.requested_from) = (Some(next), None);
     }
 
-    fn in_order(&mut self, out: &mut Vec<Told>) {
+    /// Appends the events of the pending batches that are next in order.
+    fn emit_in_order(&mut self, out: &mut Vec<CacheEvent>) {
         let mut next = self.next();
-        while let Some(told) = self.held.remove(&next) {
-            out.extend(told);
+        while let Some(events) = self.pending.remove(&next) {
+            out.extend(events);
             next += 1;
         }
         self.next = Some(next);
-        // What was asked for has come as far as the gap went.
-        if self.held.is_empty() {
-            self.asked = None;
+        // No batch waits behind a gap any more, so that the requested replay is complete.
+        if self.pending.is_empty() {
+            self.requested_from = None;
         }
     }
 
-    fn want(&mut self) -> Want {
+    /// A replay request if there is a gap that has not been requested yet.
+    fn next_request(&mut self) -> Request {
         let next = self.next();
-        if self.held.is_empty() || self.asked == Some(next) {
-            return Want::Nothing;
+        if self.pending.is_empty() || self.requested_from == Some(next) {
+            return Request::Nothing;
         }
-        self.asked = Some(next);
-        Want::Again { from: next }
+        self.requested_from = Some(next);
+        Request::Replay { from: next }
     }
 }
 
-/// What one engine keeps, by its own names for blocks.
+/// The blocks that one engine has cached, by the engine's own hashes.
 #[derive(Debug, Default)]
-pub struct View {
-    /// Each block's parent.
+pub struct CacheView {
+    /// Parent of each block.
     blocks: HashMap<u64, Option<u64>>,
-    most: usize,
+    max_blocks: usize,
 }
 
-impl View {
-    /// Of so many blocks at the most: past it, what is stored is passed over, and fewer are known than kept.
-    pub fn new(most: usize) -> Self {
-        View { blocks: HashMap::new(), most }
+impl CacheView {
+    /// A view of at most `max_blocks` blocks. Further blocks are ignored, so that fewer are known than cached.
+    pub fn new(max_blocks: usize) -> Self {
+        CacheView { blocks: HashMap::new(), max_blocks }
     }
 
-    pub fn take(&mut self, told: &Told) {
-        match told {
-            Told::Stored { blocks, parent } => {
+    /// Applies an event.
+    pub fn apply(&mut self, event: &CacheEvent) {
+        match event {
+            CacheEvent::Stored { blocks, parent } => {
                 let mut parent = *parent;
                 for block in blocks {
-                    if self.blocks.len() >= self.most && !self.blocks.contains_key(block) {
+                    if self.blocks.len() >= self.max_blocks && !self.blocks.contains_key(block) {
                         return;
                     }
                     self.blocks.insert(*block, parent);
                     parent = Some(*block);
                 }
             }
-            Told::Removed { blocks } => {
+            CacheEvent::Removed { blocks } => {
                 for block in blocks {
                     self.blocks.remove(block);
                 }
             }
-            Told::Cleared => self.blocks.clear(),
+            CacheEvent::Cleared => self.blocks.clear(),
         }
     }
 
-    /// How many of a prompt's blocks it keeps, from the first on: a block without its parent cannot be used.
-    pub fn run(&self, chain: &[u64]) -> usize {
+    /// Number of blocks cached from the start of a prompt. A block whose parent is not cached cannot be used.
+    pub fn cached_run(&self, chain: &[u64]) -> usize {
         let mut parent = None;
-        let holds = |block: &&u64| {
-            let held = self.blocks.get(*block) == Some(&parent);
+        let is_cached = |block: &&u64| {
+            let cached = self.blocks.get(*block) == Some(&parent);
             parent = Some(**block);
-            held
+            cached
         };
-        chain.iter().take_while(holds).count()
+        chain.iter().take_while(is_cached).count()
     }
 
     pub fn len(&self) -> usize {
--- a/crates/prefix/tests/flood.rs
+++ b/crates/prefix/tests/flood.rs
@@ -1,4 +1,5 @@
-//! Memory under a flood, counted by the allocator: alone in its process, so that nothing else is counted.
+//! Memory under a flood of texts, counted by the allocator. The test has a process of its own, so that nothing else is
+//! counted.
 
 use cap::Cap;
 use std::alloc::System;
@@ -19,10 +20,11 @@
     out
 }
 
-/// A flood of texts that never come again passes neither the cap, at any moment, nor pushes out the texts in demand.
+/// A flood of texts that are never requested again must not exceed the memory limit at any time, and must not evict texts
+/// in demand.
 #[test]
-fn a_flood_stays_under_the_cap_and_leaves_what_is_in_demand() {
-    const CAP: usize = 2 << 20;
+fn a_flood_stays_below_the_memory_limit_and_keeps_texts_in_demand() {
+    const LIMIT_BYTES: usize = 2 << 20;
     let demanded: Vec<Vec<u64>> = (0..20).map(|i| chain(100 + i)).collect();
     let floods: Vec<Vec<u64>> = (0..6000).map(|i| chain(1000 + i)).collect();
     let hosts = 64;
@@ -35,22 +37,22 @@
         demanded.iter().map(held).sum()
     };
     let before = MEMORY.allocated();
-    let mut index = Index::new(CAP);
-    let mut most = MEMORY.allocated() - before;
+    let mut index = Index::new(LIMIT_BYTES);
+    let mut peak = MEMORY.allocated() - before;
     for (i, flood) in floods.iter().enumerate() {
         let now = Duration::from_millis(i as u64 * 5);
-        // One in ten asks for a text in demand.
+        // One in ten reads is of a text in demand.
         if i % 10 == 0 {
             index.record_read(now, (i % hosts) as u32, &demanded[(i / 10) % 20], false);
         }
         index.record_read(now, ((i * 7) % hosts) as u32, flood, false);
-        most = most.max(MEMORY.allocated().saturating_sub(before));
+        peak = peak.max(MEMORY.allocated().saturating_sub(before));
         if i > 400 {
             assert_eq!(hits(&mut index, &mut found), 20, "at text {i}");
         }
     }
-    assert!(most <= CAP, "{most} bytes of {CAP}");
-    assert!(most > CAP / 4, "{most} bytes: the cap was not tried");
+    assert!(peak <= LIMIT_BYTES, "{peak} bytes used of {LIMIT_BYTES}");
+    assert!(peak > LIMIT_BYTES / 4, "{peak} bytes used: too few to test the limit");
     let blocks: usize = floods.iter().map(Vec::len).sum();
-    assert!(index.sizes().0 < blocks / 2, "the flood fitted in: nothing was tried");
+    assert!(index.sizes().0 < blocks / 2, "the whole flood fits into the index, so that nothing is evicted");
 }
--- a/crates/prefix/tests/follow.rs
+++ b/crates/prefix/tests/follow.rs
@@ -1,131 +1,153 @@
-//! A follower against a publisher whose batches are lost, doubled, late and out of order, whose past is short and which
-//! starts anew: once it is quiet the follower is at the publisher's number and knows nothing that is not kept.
+//! A follower against an engine that restarts, has a short replay buffer, and whose batches are lost, duplicated, late and
+//! reordered. Once the connection is reliable, the follower has to arrive at the engine's batch number and must not report
+//! blocks that are not cached.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeSet, VecDeque};
-use tulipstall_prefix::follow::{Batch, Follower, Told, View, Want};
+use tulipstall_prefix::follow::{Batch, CacheEvent, CacheView, Follower, Request};
 
-fn stored(blocks: &[u64], parent: Option<u64>) -> Told {
-    Told::Stored { blocks: blocks.to_vec(), parent }
+fn stored(blocks: &[u64], parent: Option<u64>) -> CacheEvent {
+    CacheEvent::Stored { blocks: blocks.to_vec(), parent }
 }
 
-fn batch(number: u64, life: Option<u64>) -> Batch {
-    Batch { number, life, told: vec![stored(&[number], None)] }
+fn batch(number: u64, incarnation: Option<u64>) -> Batch {
+    Batch { number, incarnation, events: vec![stored(&[number], None)] }
 }
 
 #[test]
-fn numbers_tell_what_is_missing() {
-    type Case = (&'static str, &'static [(u64, Option<u64>)], &'static [u64], Want, bool);
-    // Batches as (number, life); which of them have come out in order at the end, what is wanted after the last, whether
-    // all before was void at some time.
+fn gaps_duplicates_and_restarts_are_detected() {
+    type Case = (&'static str, &'static [(u64, Option<u64>)], &'static [u64], Request, bool);
+    // Batches as (number, incarnation); the numbers that came out in order; the request after the last batch; whether
+    // everything known was invalidated at some time.
     let cases: [Case; 9] = [
-        ("in order", &[(0, None), (1, None), (2, None)], &[0, 1, 2], Want::Nothing, false),
-        ("a gap", &[(0, None), (2, None)], &[0], Want::Again { from: 1 }, false),
-        ("asked for once only", &[(0, None), (2, None), (3, None)], &[0], Want::Nothing, false),
-        ("a gap that closes", &[(0, None), (2, None), (1, None)], &[0, 1, 2], Want::Nothing, false),
-        ("doubled", &[(0, None), (1, None), (1, None)], &[0, 1], Want::Nothing, false),
-        ("the first is not the first", &[(5, None)], &[], Want::Again { from: 0 }, false),
-        ("counts anew", &[(0, None), (1, None), (0, None)], &[0, 1, 0], Want::Nothing, true),
-        ("another life", &[(0, Some(1)), (1, Some(1)), (2, Some(2))], &[0, 1], Want::Again { from: 0 }, true),
+        ("in order", &[(0, None), (1, None), (2, None)], &[0, 1, 2], Request::Nothing, false),
+        ("a gap", &[(0, None), (2, None)], &[0], Request::Replay { from: 1 }, false),
+        ("a gap is requested once only", &[(0, None), (2, None), (3, None)], &[0], Request::Nothing, false),
+        ("a gap that closes", &[(0, None), (2, None), (1, None)], &[0, 1, 2], Request::Nothing, false),
+        ("a duplicate", &[(0, None), (1, None), (1, None)], &[0, 1], Request::Nothing, false),
+        ("the first batches are missing", &[(5, None)], &[], Request::Replay { from: 0 }, false),
         (
-            "the same life, nought again",
+            "a restart without an incarnation",
+            &[(0, None), (1, None), (0, None)],
+            &[0, 1, 0],
+            Request::Nothing,
+            true,
+        ),
+        (
+            "another incarnation",
+            &[(0, Some(1)), (1, Some(1)), (2, Some(2))],
+            &[0, 1],
+            Request::Replay { from: 0 },
+            true,
+        ),
+        (
+            "number 0 again in the same incarnation",
             &[(0, Some(1)), (1, Some(1)), (0, Some(1))],
             &[0, 1],
-            Want::Nothing,
+            Request::Nothing,
             false,
         ),
     ];
-    for (what, batches, wanted, want, void) in cases {
-        let (mut follower, mut out, mut last) = (Follower::default(), Vec::new(), Want::Nothing);
-        // One that was told a life first hears of another as itself.
-        for (number, life) in batches {
-            last = follower.batch(batch(*number, *life), &mut out);
+    for (what, batches, expected, request, invalidated) in cases {
+        let (mut follower, mut out, mut last) = (Follower::default(), Vec::new(), Request::Nothing);
+        for (number, incarnation) in batches {
+            last = follower.receive(batch(*number, *incarnation), &mut out);
         }
-        let came: Vec<u64> = out
+        let numbers: Vec<u64> = out
             .iter()
-            .filter_map(|told| if let Told::Stored { blocks, .. } = told { Some(blocks[0]) } else { None })
+            .filter_map(
+                |event| if let CacheEvent::Stored { blocks, .. } = event { Some(blocks[0]) } else { None },
+            )
             .collect();
-        assert_eq!(came, wanted, "{what}");
-        assert_eq!(last, want, "{what}");
-        assert_eq!(out.contains(&Told::Cleared), void, "{what}");
+        assert_eq!(numbers, expected, "{what}");
+        assert_eq!(last, request, "{what}");
+        assert_eq!(out.contains(&CacheEvent::Cleared), invalidated, "{what}");
     }
 }
 
 #[test]
-fn a_past_out_of_reach_and_a_follower_too_slow_begin_anew() {
+fn a_short_replay_buffer_and_a_long_gap_invalidate_everything() {
     let (mut follower, mut out) = (Follower::default(), Vec::new());
-    follower.batch(batch(0, None), &mut out);
-    assert_eq!(follower.batch(batch(9, None), &mut out), Want::Again { from: 1 });
+    follower.receive(batch(0, None), &mut out);
+    assert_eq!(follower.receive(batch(9, None), &mut out), Request::Replay { from: 1 });
     out.clear();
-    assert_eq!(follower.reaches_back_to(8, &mut out), Want::Again { from: 8 });
-    assert_eq!(out, [Told::Cleared], "what was known before the gap is void");
-    assert_eq!(follower.batch(batch(8, None), &mut out), Want::Nothing);
+    assert_eq!(follower.replay_starts_at(8, &mut out), Request::Replay { from: 8 });
+    assert_eq!(out, [CacheEvent::Cleared], "what was known before the gap is invalid");
+    assert_eq!(follower.receive(batch(8, None), &mut out), Request::Nothing);
     assert_eq!(follower.next(), 10);
-    // Nothing closes the gap, thousands come behind it: bounded, and known again from the newest on.
+    // The gap is never closed and thousands of batches follow: memory stays bounded, and the follower starts again from
+    // the newest batch.
     out.clear();
     for number in 11..5000 {
-        follower.batch(batch(number, None), &mut out);
+        follower.receive(batch(number, None), &mut out);
     }
-    assert!(out.contains(&Told::Cleared));
+    assert!(out.contains(&CacheEvent::Cleared));
     assert!(follower.next() > 4000, "{}", follower.next());
-    assert_eq!(follower.broke(), Want::Again { from: follower.next() });
+    assert_eq!(follower.connection_lost(), Request::Replay { from: follower.next() });
 }
 
-/// Blocks count only with their parents, and the view is bounded.
+/// Blocks count only if their parents are cached, and the view is bounded.
 #[test]
-fn a_run_needs_its_parents() {
-    let mut view = View::new(4);
-    view.take(&stored(&[1, 2, 3], None));
-    assert_eq!((view.run(&[1, 2, 3, 4]), view.run(&[2, 3]), view.run(&[1, 3])), (3, 0, 1));
-    view.take(&Told::Removed { blocks: vec![2] });
-    assert_eq!(view.run(&[1, 2, 3]), 1);
-    view.take(&stored(&[4, 5, 6, 7], Some(3)));
+fn a_cached_run_needs_its_parents() {
+    let mut view = CacheView::new(4);
+    view.apply(&stored(&[1, 2, 3], None));
+    assert_eq!(
+        (view.cached_run(&[1, 2, 3, 4]), view.cached_run(&[2, 3]), view.cached_run(&[1, 3])),
+        (3, 0, 1)
+    );
+    view.apply(&CacheEvent::Removed { blocks: vec![2] });
+    assert_eq!(view.cached_run(&[1, 2, 3]), 1);
+    view.apply(&stored(&[4, 5, 6, 7], Some(3)));
     assert_eq!(view.len(), 4);
-    view.take(&Told::Cleared);
-    assert!(view.is_empty() && view.run(&[1]) == 0);
+    view.apply(&CacheEvent::Cleared);
+    assert!(view.is_empty() && view.cached_run(&[1]) == 0);
 }
 
-/// An engine with a short past.
+/// An engine with a short replay buffer.
 struct Engine {
-    life: u64,
-    kept: BTreeSet<u64>,
-    past: VecDeque<Batch>,
+    incarnation: u64,
+    cached: BTreeSet<u64>,
+    replay_buffer: VecDeque<Batch>,
     number: u64,
 }
 
 impl Engine {
-    fn publish(&mut self, told: Vec<Told>) -> Batch {
-        let batch = Batch { number: self.number, life: Some(self.life), told };
+    fn publish(&mut self, events: Vec<CacheEvent>) -> Batch {
+        let batch = Batch { number: self.number, incarnation: Some(self.incarnation), events };
         self.number += 1;
-        self.past.push_back(batch.clone());
-        if self.past.len() > 12 {
-            self.past.pop_front();
+        self.replay_buffer.push_back(batch.clone());
+        if self.replay_buffer.len() > 12 {
+            self.replay_buffer.pop_front();
         }
         batch
     }
 
-    fn step(&mut self, chance: &mut Pcg64Mcg) -> Batch {
-        match chance.random_range(0..40) {
+    fn step(&mut self, rng: &mut Pcg64Mcg) -> Batch {
+        match rng.random_range(0..40) {
             0 => {
-                *self =
-                    Engine { life: self.life + 1, kept: BTreeSet::new(), past: VecDeque::new(), number: 0 };
+                *self = Engine {
+                    incarnation: self.incarnation + 1,
+                    cached: BTreeSet::new(),
+                    replay_buffer: VecDeque::new(),
+                    number: 0,
+                };
                 self.publish(vec![])
             }
             1 => {
-                self.kept.clear();
-                self.publish(vec![Told::Cleared])
+                self.cached.clear();
+                self.publish(vec![CacheEvent::Cleared])
             }
-            2..=12 if !self.kept.is_empty() => {
-                let at = chance.random_range(0..self.kept.len());
-                let block = self.kept.iter().nth(at).copied().unwrap_or_default();
-                self.kept.remove(&block);
-                self.publish(vec![Told::Removed { blocks: vec![block] }])
+            2..=12 if !self.cached.is_empty() => {
+                let at = rng.random_range(0..self.cached.len());
+                let block = self.cached.iter().nth(at).copied().unwrap_or_default();
+                self.cached.remove(&block);
+                self.publish(vec![CacheEvent::Removed { blocks: vec![block] }])
             }
             _ => {
-                let block = chance.random_range(1..60);
-                self.kept.insert(block);
+                let block = rng.random_range(1..60);
+                self.cached.insert(block);
                 self.publish(vec![stored(&[block], None)])
             }
         }
@@ -133,56 +155,62 @@
 }
 
 #[test]
-fn after_any_trouble_the_view_is_the_engines() {
-    let (mut voids, mut replays) = (0, 0);
+fn the_view_recovers_from_lost_and_reordered_batches() {
+    let (mut invalidations, mut replays) = (0, 0);
     for seed in 0..300 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut engine = Engine { life: 1, kept: BTreeSet::new(), past: VecDeque::new(), number: 0 };
-        let (mut follower, mut view) = (Follower::default(), View::new(1000));
-        let mut way: VecDeque<Batch> = VecDeque::new();
-        let take = |follower: &mut Follower, view: &mut View, batch: Batch, voids: &mut u32| {
-            let mut out = Vec::new();
-            let want = follower.batch(batch, &mut out);
-            *voids += u32::from(out.contains(&Told::Cleared));
-            out.iter().for_each(|told| view.take(told));
-            want
-        };
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let mut engine =
+            Engine { incarnation: 1, cached: BTreeSet::new(), replay_buffer: VecDeque::new(), number: 0 };
+        let (mut follower, mut view) = (Follower::default(), CacheView::new(1000));
+        let mut in_transit: VecDeque<Batch> = VecDeque::new();
+        let receive =
+            |follower: &mut Follower, view: &mut CacheView, batch: Batch, invalidations: &mut u32| {
+                let mut out = Vec::new();
+                let request = follower.receive(batch, &mut out);
+                *invalidations += u32::from(out.contains(&CacheEvent::Cleared));
+                out.iter().for_each(|event| view.apply(event));
+                request
+            };
         for step in 0..400 {
-            let quiet = step >= 380;
-            let batch = engine.step(&mut chance);
-            match chance.random_range(0..10) {
-                0 if !quiet => {}
-                1 if !quiet => way.extend([batch.clone(), batch]),
-                _ => way.push_back(batch),
+            let reliable = step >= 380;
+            let batch = engine.step(&mut rng);
+            match rng.random_range(0..10) {
+                0 if !reliable => {}
+                1 if !reliable => in_transit.extend([batch.clone(), batch]),
+                _ => in_transit.push_back(batch),
             }
-            if !quiet && chance.random_range(0..5) == 0 {
-                way.make_contiguous().shuffle(&mut chance);
+            if !reliable && rng.random_range(0..5) == 0 {
+                in_transit.make_contiguous().shuffle(&mut rng);
             }
-            while way.len() > usize::from(!quiet) * 3 {
-                let Some(batch) = way.pop_front() else { break };
-                let Want::Again { from } = take(&mut follower, &mut view, batch, &mut voids) else {
+            while in_transit.len() > usize::from(!reliable) * 3 {
+                let Some(batch) = in_transit.pop_front() else { break };
+                let Request::Replay { from } = receive(&mut follower, &mut view, batch, &mut invalidations)
+                else {
                     continue;
                 };
                 replays += 1;
-                // Now and then the answer is lost with its connection, which is noticed.
-                if !quiet && chance.random_range(0..4) == 0 {
-                    follower.broke();
+                // Sometimes the replay is lost with its connection, which the follower is informed of.
+                if !reliable && rng.random_range(0..4) == 0 {
+                    follower.connection_lost();
                     continue;
                 }
-                let again: Vec<Batch> =
-                    engine.past.iter().filter(|batch| batch.number >= from).cloned().collect();
-                let oldest = engine.past.front().map_or(engine.number, |batch| batch.number);
+                let replay: Vec<Batch> =
+                    engine.replay_buffer.iter().filter(|batch| batch.number >= from).cloned().collect();
+                let oldest = engine.replay_buffer.front().map_or(engine.number, |batch| batch.number);
                 let mut out = Vec::new();
-                follower.reaches_back_to(oldest, &mut out);
-                out.iter().for_each(|told| view.take(told));
-                for batch in again {
-                    take(&mut follower, &mut view, batch, &mut voids);
+                follower.replay_starts_at(oldest, &mut out);
+                out.iter().for_each(|event| view.apply(event));
+                for batch in replay {
+                    receive(&mut follower, &mut view, batch, &mut invalidations);
                 }
             }
         }
-        let known: BTreeSet<u64> = (1..60).filter(|block| view.run(&[*block]) == 1).collect();
-        assert!(known.is_subset(&engine.kept), "seed {seed}: {known:?} of {:?}", engine.kept);
+        let known: BTreeSet<u64> = (1..60).filter(|block| view.cached_run(&[*block]) == 1).collect();
+        assert!(known.is_subset(&engine.cached), "seed {seed}: {known:?} of {:?}", engine.cached);
         assert_eq!(follower.next(), engine.number, "seed {seed}");
     }
-    assert!(voids > 100 && replays > 1000, "{voids} voids, {replays} replays: too little was tried");
+    assert!(
+        invalidations > 100 && replays > 1000,
+        "{invalidations} invalidations, {replays} replays: too few for a test"
+    );
 }
--- a/crates/prefix/tests/model.rs
+++ b/crates/prefix/tests/model.rs
@@ -1,4 +1,4 @@
-//! The index against a plain model, a map of everything, under random reads, forgetting, rooms and look-ups.
+//! The index against a simple model, a map of everything, under random reads, cache losses, capacities and look-ups.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,7 +9,7 @@
 
 const KEY: Key = Key(*b"0123456789abcdef");
 
-/// Texts that share beginnings: a path of choices, each a paragraph.
+/// A text with a paragraph for each choice. Texts with the same first choices share a prefix.
 fn text(choices: &[u32]) -> String {
     choices
         .iter()
@@ -23,7 +23,7 @@
     out
 }
 
-/// What hosts hold, by hosts: every block hash.
+/// By host: the hashes of all blocks that it has cached.
 #[derive(Default)]
 struct Model(BTreeMap<u32, BTreeSet<u64>>);
 
@@ -38,24 +38,23 @@
     let mut out = Vec::new();
     index.look_up(chain, &mut out);
     let all: BTreeMap<u32, u32> = out.iter().copied().collect();
-    assert_eq!(all.len(), out.len(), "a host twice");
+    assert_eq!(all.len(), out.len(), "a host is listed twice");
     all
 }
 
-/// With room for all, it says what the model says, to the block.
+/// With sufficient memory, the index agrees with the model to the block.
 #[test]
-fn with_room_it_is_the_model() {
+fn with_sufficient_memory_it_equals_the_model() {
     for seed in 0..40 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut index = Index::new(4 << 20);
         let mut model = Model::default();
-        let hosts = chance.random_range(1..12);
+        let hosts = rng.random_range(1..12);
         for step in 0..400u64 {
-            let choices: Vec<u32> =
-                (0..chance.random_range(1..8)).map(|_| chance.random_range(0..3)).collect();
+            let choices: Vec<u32> = (0..rng.random_range(1..8)).map(|_| rng.random_range(0..3)).collect();
             let chain = chain(&text(&choices));
-            let host = chance.random_range(0..hosts);
-            match chance.random_range(0..20) {
+            let host = rng.random_range(0..hosts);
+            match rng.random_range(0..20) {
                 0 => {
                     index.clear_host(host);
                     model.0.remove(&host);
@@ -67,8 +66,12 @@
                 _ => {
                     let found = runs(&mut index, &chain);
                     for host in 0..hosts {
-                        let wanted = model.run(host, &chain);
-                        assert_eq!(found.get(&host).copied().unwrap_or(0), wanted, "seed {seed} step {step}");
+                        let expected = model.run(host, &chain);
+                        assert_eq!(
+                            found.get(&host).copied().unwrap_or(0),
+                            expected,
+                            "seed {seed} step {step}"
+                        );
                     }
                 }
             }
@@ -78,23 +81,23 @@
     }
 }
 
-/// Without room, it never says more than the model holds, and a host's room holds what was read last.
+/// With too little memory, the index never reports more than the model has; a host never has more blocks than its capacity,
+/// and always the beginning of what it has read last.
 #[test]
-fn without_room_it_knows_less_and_never_more() {
+fn with_too_little_memory_it_reports_less_but_never_more() {
     for seed in 0..40 {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut index = Index::new([8_000, 20_000, 60_000][seed as usize % 3]);
         let mut model = Model::default();
-        let room = chance.random_range(10..60);
+        let capacity = rng.random_range(10..60);
         for host in 0..6 {
-            index.set_capacity(host, room);
+            index.set_capacity(host, capacity);
         }
         for step in 0..600u64 {
-            let choices: Vec<u32> =
-                (0..chance.random_range(1..6)).map(|_| chance.random_range(0..4)).collect();
+            let choices: Vec<u32> = (0..rng.random_range(1..6)).map(|_| rng.random_range(0..4)).collect();
             let chain = chain(&text(&choices));
-            let host = chance.random_range(0..6);
-            match chance.random_range(0..25) {
+            let host = rng.random_range(0..6);
+            match rng.random_range(0..25) {
                 0 => {
                     index.clear_host(host);
                     model.0.remove(&host);
@@ -103,8 +106,8 @@
                 1..=14 => {
                     index.record_read(Duration::from_millis(step * 10), host, &chain, false);
                     model.0.entry(host).or_default().extend(&chain);
-                    assert!(index.held_blocks(host) <= room, "seed {seed} step {step}");
-                    // The beginning at least of what it has just read.
+                    assert!(index.held_blocks(host) <= capacity, "seed {seed} step {step}");
+                    // At least the beginning of what the host has just read is reported.
                     assert!(
                         chain.is_empty() || runs(&mut index, &chain).contains_key(&host),
                         "seed {seed} {step}"
@@ -120,9 +123,9 @@
     }
 }
 
-/// What is old is let go of by the reads that follow.
+/// Holdings past the maximum age are dropped by later reads.
 #[test]
-fn what_is_old_goes() {
+fn old_holdings_are_dropped() {
     let mut index = Index::new(1 << 20);
     let (old, new) = (chain(&text(&[1, 1, 1])), chain(&text(&[2, 2, 2])));
     index.record_read(Duration::ZERO, 0, &old, false);
@@ -130,19 +133,19 @@
     assert_eq!(runs(&mut index, &old).get(&0), Some(&(old.len() as u32)));
     index.record_read(Duration::from_secs(601), 0, &new, false);
     assert!(runs(&mut index, &old).is_empty());
-    assert_eq!(index.sizes().0, new.len(), "blocks that nobody holds go with them");
+    assert_eq!(index.sizes().0, new.len(), "blocks without holdings are dropped too");
 }
 
-/// Chains are by content: the same beginning gives the same hashes, whatever follows; a customer's salt and another key
-/// give others; characters are never cut.
+/// The same prefix gives the same hashes, whatever follows; another salt or key gives other hashes; characters are never
+/// split.
 #[test]
-fn chains_are_by_content_and_key() {
+fn chains_depend_on_content_salt_and_key() {
     let (one, other) = (text(&[1, 2, 3, 3, 3]), text(&[1, 2, 4, 4, 4]));
     let (a, b) = (chain(&one), chain(&other));
     let same = a.iter().zip(&b).take_while(|(a, b)| a == b).count();
     let shared = one.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
     assert!(same > 0 && same < a.len(), "{same} of {}", a.len());
-    // All whole blocks of what is shared: a block has 128 bytes at most where all is ASCII, fewer tokens a byte here.
+    // All complete blocks of the shared prefix. 128 bytes are one block of ASCII; other text has fewer tokens per byte.
     assert!((shared / (4 * BLOCK as usize)) <= same, "{same} blocks of {shared} bytes");
     assert_eq!(chain(&format!("{one}{}", "x".repeat(1000)))[..a.len()], a[..]);
     let mut salted = Vec::new();
