--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,35 +1,41 @@
-//! The engines' protocol (docs/engines.md): completions over HTTP, the hand-over of a read state in
-//! `kv_transfer_params`, loads in the ORCA header. Bytes in, what they prove out; no I/O.
+//! Codec of the engines' protocol (docs/engines.md), without I/O: completions over HTTP, the transfer of a state (KV cache)
+//! from a reader to a writer in `kv_transfer_params`, and load reports in the ORCA header.
 
 use http::HeaderMap;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 use tulipstall::interface::{Load, Outcome};
 
-/// The path of completions and of held states.
+/// Path of completions.
 pub const COMPLETIONS: &str = "/v1/completions";
+/// Path of held states; a state's id follows.
 pub const STATES: &str = "/v1/states/";
-/// Our extension: why a request was turned away, provably unread.
+/// Extension of the protocol: the reason for rejecting a request, given only if the request was not started.
 pub const WHY: &str = "x-tulipstall-why";
-/// Our extension: the mark by which a host discards repeats of a referenced task.
+/// Extension of the protocol: the reference by which a host discards repeats of a request of a referenced offering.
 pub const REFERENCE: &str = "x-tulipstall-reference";
+/// Header with a load report in the ORCA format.
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// What a task asks of its engines, whatever the stage.
+/// The request of a task to its engines, in all stages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
     pub model: String,
     pub text: String,
+    /// Maximum number of tokens in the answer.
     pub most_tokens: u32,
+    /// Stop sequences.
     pub stop: Vec<String>,
-    /// Sampling figures, passed on as they came.
+    /// Sampling parameters, passed on unchanged.
     pub sampling: Map<String, Value>,
+    /// Reference of the request, by which hosts discard repeats.
     pub reference: Option<String>,
+    /// Set if an answer begun at another writer is resumed.
     pub resume: Option<Resume>,
 }
 
-/// Our extension: the prompt ends with so many bytes of an answer that was begun elsewhere, and the writer is to say
-/// its tokens from this position on, telling the position of each.
+/// Extension of the protocol for resuming an answer begun at another writer: the prompt ends with `answer_bytes` bytes of
+/// that answer, and the writer sends the tokens from position `from` on, each with its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
     pub answer_bytes: usize,
@@ -37,40 +43,41 @@
 }
 
 /// The field of a body that carries [`Resume`].
-pub const RESUME: &str = "tulipstall_resume";
+pub const RESUME_FIELD: &str = "tulipstall_resume";
 
-/// A read state that waits at a reader: what the reader said, handed to the writer as it is.
+/// A state (KV cache) that a reader holds, as the reader reported it. It is passed on to the writer unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
     pub remote_engine_id: String,
     pub remote_host: String,
     pub remote_port: u16,
-    /// Our extension: one name for the state, where engines list blocks.
+    /// Extension of the protocol: a single id of the state, instead of a list of blocks.
     pub state_id: String,
 }
 
+/// What an attempt asks of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage<'a> {
-    /// Read the prompt and keep its state.
+    /// Read (prefill) the prompt and hold its state for a writer.
     Read,
-    /// Fetch the state and answer.
+    /// Fetch the state from its reader and write the answer (decode).
     Write(&'a State),
-    /// Read and answer.
+    /// Read the prompt and write the answer.
     Whole,
 }
 
-/// The JSON body of one shot.
+/// The JSON body of an attempt.
 pub fn body(prompt: &Prompt, stage: Stage) -> Vec<u8> {
     let mut body = prompt.sampling.clone();
     body.insert("model".into(), json!(prompt.model));
     body.insert("prompt".into(), json!(prompt.text));
-    let read = stage == Stage::Read;
+    let is_read = stage == Stage::Read;
     if let Some(resume) = &prompt.resume {
-        body.insert(RESUME.into(), json!(resume));
+        body.insert(RESUME_FIELD.into(), json!(resume));
     }
-    body.insert("max_tokens".into(), json!(if read { 1 } else { prompt.most_tokens }));
-    body.insert("stream".into(), json!(!read));
-    if !read {
+    body.insert("max_tokens".into(), json!(if is_read { 1 } else { prompt.most_tokens }));
+    body.insert("stream".into(), json!(!is_read));
+    if !is_read {
         body.insert("stream_options".into(), json!({"include_usage": true}));
         if !prompt.stop.is_empty() {
             body.insert("stop".into(), json!(prompt.stop));
@@ -94,13 +101,13 @@
     serde_json::to_vec(&Value::Object(body)).unwrap_or_default()
 }
 
-/// A whole request for a shot, ready to be written; it names the dispatcher (RFC 9110 section 7.6.3).
-pub fn request(host: &str, from: &str, task: &str, prompt: &Prompt, body: &[u8]) -> Vec<u8> {
+/// The complete HTTP request of an attempt. The `via` header names the dispatcher (RFC 9110 section 7.6.3).
+pub fn request(host: &str, dispatcher: &str, request_id: &str, prompt: &Prompt, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(body.len() + 256);
     out.extend_from_slice(
         format!(
-            "POST {COMPLETIONS} HTTP/1.1\r\nhost: {host}\r\nvia: 1.1 {from}\r\n\
-             content-type: application/json\r\nx-request-id: {task}\r\ncontent-length: {}\r\n",
+            "POST {COMPLETIONS} HTTP/1.1\r\nhost: {host}\r\nvia: 1.1 {dispatcher}\r\n\
+             content-type: application/json\r\nx-request-id: {request_id}\r\ncontent-length: {}\r\n",
             body.len()
         )
         .as_bytes(),
@@ -113,16 +120,17 @@
     out
 }
 
-/// What a status that is no success proves.
-pub fn refused(status: u16, why: Option<&str>) -> Outcome {
-    match (status, why) {
+/// The outcome of an attempt that was answered with an error status and, optionally, the reason in the [`WHY`] header.
+pub fn refused(status: u16, reason: Option<&str>) -> Outcome {
+    match (status, reason) {
         (429 | 503, Some("full" | "draining")) => Outcome::Full,
         (404 | 409 | 424, Some("no-state")) => Outcome::NoState,
-        // Without the mark nothing is proved: the engine may have begun.
+        // Without the reason the engine may have started the request.
         _ => Outcome::Error,
     }
 }
 
+/// Token counts reported by an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     pub prompt_tokens: u32,
@@ -134,16 +142,18 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Piece {
     pub text: String,
-    /// The token's bytes where the engine tells them, as it does where a character takes several tokens.
+    /// Bytes of the token, where the engine reports them: if a character is split between several tokens.
     pub bytes: Option<Vec<u8>>,
-    /// Which token of the whole answer it is, where the engine says so.
+    /// Position of the token in the whole answer, where the engine reports it.
     pub position: Option<u32>,
+    /// Why the answer ended, in its last piece.
     pub finish: Option<String>,
-    /// Which stop sequence ended it, where the engine says so.
+    /// The stop sequence that ended the answer, where the engine reports it.
     pub stop: Option<String>,
     pub usage: Option<Usage>,
+    /// The state that a reader holds.
     pub state: Option<State>,
-    /// The engine reports an error inside the stream.
+    /// The engine reported an error within the answer.
     pub error: bool,
 }
 
@@ -181,21 +191,21 @@
 }
 
 impl Piece {
-    /// What it says.
+    /// The text of the piece as bytes.
     pub fn said(&self) -> &[u8] {
         self.bytes.as_deref().unwrap_or(self.text.as_bytes())
     }
 
-    /// Whether it is a token: one may say nothing while its engine waits for a character's other bytes.
+    /// Whether the piece is a token. A token may have no text if the engine waits for the remaining bytes of a character.
     pub fn is_token(&self) -> bool {
         !self.said().is_empty() || (self.position.is_some() && self.finish.is_none())
     }
 }
 
-/// The end mark of a stream.
+/// The data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
 
-/// Reads the JSON of one event, or of a reader's whole answer.
+/// Parses the data of one event of a stream, or the body of a reader's answer. Absent if it is malformed.
 pub fn piece(data: &str) -> Option<Piece> {
     let raw: RawPiece = serde_json::from_str(data).ok()?;
     let usage = raw.usage.map(|usage| Usage {
@@ -213,34 +223,37 @@
     Some(piece)
 }
 
-/// A load report from the ORCA header (`JSON {…}` or `TEXT name=value, …`): the figures named, in their order.
+/// Parses a load report in the ORCA header (`JSON {…}` or `TEXT name=value, …`): the metrics with the given names, in the
+/// order of the names. Absent if one of them is missing or not finite.
 pub fn load(headers: &HeaderMap, names: &[String]) -> Option<Load> {
     let text = headers.get(LOAD_HEADER)?.to_str().ok()?;
-    let (form, rest) = text.split_once(' ')?;
+    let (format, rest) = text.split_once(' ')?;
     let mut load = Load { count: names.len().min(4), ..Load::default() };
-    let figures = match form {
-        "JSON" => Figures::Json(serde_json::from_str(rest).ok()?),
-        "TEXT" => Figures::Text(rest),
+    let metrics = match format {
+        "JSON" => Metrics::Json(serde_json::from_str(rest).ok()?),
+        "TEXT" => Metrics::Text(rest),
         _ => return None,
     };
     for (i, name) in names.iter().take(4).enumerate() {
-        load.values[i] = figures.find(name).filter(|value| value.is_finite())?;
+        load.values[i] = metrics.find(name).filter(|value| value.is_finite())?;
     }
     Some(load)
 }
 
-enum Figures<'a> {
+/// The metrics of a load report, in either format.
+enum Metrics<'a> {
     Json(Value),
     Text(&'a str),
 }
 
-impl Figures<'_> {
+impl Metrics<'_> {
+    /// The value of a metric; dots in the name separate levels.
     fn find(&self, name: &str) -> Option<f64> {
         match self {
-            Figures::Json(value) => value.pointer(&format!("/{}", name.replace('.', "/")))?.as_f64(),
-            Figures::Text(text) => {
+            Metrics::Json(value) => value.pointer(&format!("/{}", name.replace('.', "/")))?.as_f64(),
+            Metrics::Text(text) => {
                 let mut pairs = text.split(',').filter_map(|pair| pair.split_once('='));
-                pairs.find(|(own, _)| own.trim() == name)?.1.trim().parse().ok()
+                pairs.find(|(key, _)| key.trim() == name)?.1.trim().parse().ok()
             }
         }
     }
--- a/crates/engine/tests/answers.rs
+++ b/crates/engine/tests/answers.rs
@@ -1,4 +1,4 @@
-//! What engines' answers prove.
+//! The engines' protocol: outcomes of error answers, request bodies, pieces of answers, load reports.
 
 use http::{HeaderMap, HeaderValue};
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 use tulipstall_engine::{LOAD_HEADER, Prompt, Stage, State, body, load, piece, refused};
 
 #[test]
-fn only_a_marked_refusal_proves_that_nothing_ran() {
+fn only_an_error_with_a_reason_proves_that_nothing_ran() {
     let cases = [
         (429, Some("full"), Outcome::Full),
         (503, Some("draining"), Outcome::Full),
@@ -18,13 +18,13 @@
         (404, None, Outcome::Error),
         (400, Some("no-state"), Outcome::Error),
     ];
-    for (status, why, wanted) in cases {
-        assert_eq!(refused(status, why), wanted, "{status} {why:?}");
+    for (status, reason, expected) in cases {
+        assert_eq!(refused(status, reason), expected, "{status} {reason:?}");
     }
 }
 
 #[test]
-fn a_shot_asks_for_what_its_stage_is() {
+fn a_body_matches_its_stage() {
     let prompt = Prompt {
         model: "m".into(),
         text: "p".into(),
@@ -38,19 +38,19 @@
         remote_port: 7,
         state_id: "s".into(),
     };
-    let of = |stage| serde_json::from_slice::<Value>(&body(&prompt, stage)).expect("JSON");
-    let read = of(Stage::Read);
+    let body_of = |stage| serde_json::from_slice::<Value>(&body(&prompt, stage)).expect("JSON");
+    let read = body_of(Stage::Read);
     assert_eq!((&read["max_tokens"], &read["stream"]), (&1.into(), &false.into()));
     assert_eq!(read["kv_transfer_params"]["do_remote_decode"], true);
-    let write = of(Stage::Write(&state));
+    let write = body_of(Stage::Write(&state));
     assert_eq!((&write["max_tokens"], &write["stop"][0]), (&9.into(), &"x".into()));
     assert_eq!(write["kv_transfer_params"]["state_id"], "s");
     assert_eq!(write["kv_transfer_params"]["do_remote_prefill"], true);
-    assert!(of(Stage::Whole).get("kv_transfer_params").is_none());
+    assert!(body_of(Stage::Whole).get("kv_transfer_params").is_none());
 }
 
 #[test]
-fn loads_in_both_forms_of_the_header() {
+fn load_reports_in_both_formats_of_the_header() {
     let names = ["mem_utilization".to_owned(), "named_metrics.to_read".to_owned()];
     let cases = [
         ("JSON {\"mem_utilization\":0.5,\"named_metrics\":{\"to_read\":2}}", Some([0.5, 2.0])),
@@ -62,16 +62,16 @@
         ("JSON", None),
         ("", None),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let mut headers = HeaderMap::new();
         headers.insert(LOAD_HEADER, HeaderValue::from_static(text));
-        let got = load(&headers, &names).map(|load| [load.values[0], load.values[1]]);
-        assert_eq!(got, wanted, "{text}");
+        let values = load(&headers, &names).map(|load| [load.values[0], load.values[1]]);
+        assert_eq!(values, expected, "{text}");
     }
 }
 
 #[test]
-fn pieces_of_answers() {
+fn pieces_of_answers_are_parsed() {
     let cases = [
         (r#"{"choices":[{"text":"เรือ","finish_reason":null}]}"#, Some("เรือ"), false),
         (r#"{"choices":[],"usage":{"prompt_tokens":3,"completion_tokens":1}}"#, Some(""), false),
@@ -79,16 +79,16 @@
         (r#"{"choices":[{"text":"#, None, false),
         (r#"[]"#, None, false),
     ];
-    for (text, wanted, error) in cases {
-        let got = piece(text);
-        assert_eq!(got.as_ref().map(|piece| piece.text.as_str()), wanted, "{text}");
-        assert_eq!(got.is_some_and(|piece| piece.error), error, "{text}");
+    for (text, expected, error) in cases {
+        let parsed = piece(text);
+        assert_eq!(parsed.as_ref().map(|piece| piece.text.as_str()), expected, "{text}");
+        assert_eq!(parsed.is_some_and(|piece| piece.error), error, "{text}");
     }
 }
 
 proptest! {
     #[test]
-    fn any_text_is_read_without_panic(text in ".{0,300}") {
+    fn any_text_is_parsed_without_panic(text in ".{0,300}") {
         let _ = piece(&text);
         let mut headers = HeaderMap::new();
         if let Ok(value) = HeaderValue::from_str(&text) {
