--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,5 +1,5 @@
-//! Codec of the engines' protocol (docs/engines.md), without I/O: completions over HTTP, the transfer of a state (KV cache)
-//! from a reader to a writer in `kv_transfer_params`, and load reports in the ORCA header.
+//! Codec of the engines' protocol (docs/engines.md), without I/O: completions over HTTP, the transfer of a
+//! state (KV cache) from a reader to a writer in `kv_transfer_params`, and load reports in the ORCA header.
 
 use http::HeaderMap;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,8 @@
 pub const STATES: &str = "/v1/states/";
 /// Extension of the protocol: the reason for rejecting a request, given only if the request was not started.
 pub const WHY: &str = "x-tulipstall-why";
-/// Extension of the protocol: the reference by which a host discards repeats of a request of a referenced offering.
+/// Extension of the protocol: the reference by which a host discards repeats of a request of a referenced
+/// offering.
 pub const REFERENCE: &str = "x-tulipstall-reference";
 /// Header with a load report in the ORCA format.
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
@@ -34,8 +35,9 @@
     pub resume: Option<Resume>,
 }
 
-/// Extension of the protocol for resuming an answer begun at another writer: the prompt ends with `answer_bytes` bytes of
-/// that answer, and the writer sends the tokens from position `from` on, each with its position.
+/// Extension of the protocol for resuming an answer begun at another writer: the prompt ends with
+/// `answer_bytes` bytes of that answer, and the writer sends the tokens from position `from` on, each with
+/// its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resume {
     pub answer_bytes: usize,
@@ -45,7 +47,8 @@
 /// The field of a body that carries [`Resume`].
 pub const RESUME_FIELD: &str = "tulipstall_resume";
 
-/// A state (KV cache) that a reader holds, as the reader reported it. It is passed on to the writer unchanged.
+/// A state (KV cache) that a reader holds, as the reader reported it. It is passed on to the writer
+/// unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct State {
     pub remote_engine_id: String,
@@ -120,7 +123,8 @@
     out
 }
 
-/// The outcome of an attempt that was answered with an error status and, optionally, the reason in the [`WHY`] header.
+/// The outcome of an attempt that was answered with an error status and, optionally, the reason in the
+/// [`WHY`] header.
 pub fn refused(status: u16, reason: Option<&str>) -> Outcome {
     match (status, reason) {
         (429 | 503, Some("full" | "draining")) => Outcome::Full,
@@ -196,7 +200,8 @@
         self.bytes.as_deref().unwrap_or(self.text.as_bytes())
     }
 
-    /// Whether the piece is a token. A token may have no text if the engine waits for the remaining bytes of a character.
+    /// Whether the piece is a token. A token may have no text if the engine waits for the remaining bytes of
+    /// a character.
     pub fn is_token(&self) -> bool {
         !self.said().is_empty() || (self.position.is_some() && self.finish.is_none())
     }
@@ -223,8 +228,8 @@
     Some(piece)
 }
 
-/// Parses a load report in the ORCA header (`JSON {…}` or `TEXT name=value, …`): the metrics with the given names, in the
-/// order of the names. Absent if one of them is missing or not finite.
+/// Parses a load report in the ORCA header (`JSON {…}` or `TEXT name=value, …`): the metrics with the given
+/// names, in the order of the names. Absent if one of them is missing or not finite.
 pub fn load(headers: &HeaderMap, names: &[String]) -> Option<Load> {
     let text = headers.get(LOAD_HEADER)?.to_str().ok()?;
     let (format, rest) = text.split_once(' ')?;
--- a/crates/messages/src/call.rs
+++ b/crates/messages/src/call.rs
@@ -1,5 +1,5 @@
-//! Parses the body of `POST /v1/messages`. Invalid and unsupported fields are rejected with status 400 and a message that
-//! names the field.
+//! Parses the body of `POST /v1/messages`. Invalid and unsupported fields are rejected with status 400 and a
+//! message that names the field.
 
 use crate::{ApiError, Kind};
 use serde::Deserialize;
@@ -15,12 +15,13 @@
     pub most_tokens: u32,
     /// The whole conversation as text for the engines.
     pub prompt: String,
-    /// Length in bytes of the shared text at the start of the prompt: up to the last cache breakpoint, or the system text
-    /// if there is none.
+    /// Length in bytes of the shared text at the start of the prompt: up to the last cache breakpoint, or the
+    /// system text if there is none.
     pub shared_bytes: usize,
     /// Hash of the shared text, the same at every dispatcher. Absent if there is no shared text.
     pub shared: Option<String>,
-    /// Hash that identifies the session: of the user id if given, otherwise of the first message with the text before it.
+    /// Hash that identifies the session: of the user id if given, otherwise of the first message with the
+    /// text before it.
     pub session: String,
     /// Stop sequences.
     pub stop: Vec<String>,
@@ -103,8 +104,8 @@
 }
 
 impl Call {
-    /// Appends a message's content to the prompt and sets `breakpoint` to the end of its last block with a cache breakpoint.
-    /// `path` is the path of the content in the body, for error messages.
+    /// Appends a message's content to the prompt and sets `breakpoint` to the end of its last block with a
+    /// cache breakpoint. `path` is the path of the content in the body, for error messages.
     fn append_content(
         &mut self,
         content: &Content,
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -1,5 +1,5 @@
-//! Codec of the messages API, version 2023-06-01, without I/O: parses request bodies and writes answers, as messages or as
-//! the events of a stream. How a request is routed is described in docs/messages-api.md.
+//! Codec of the messages API, version 2023-06-01, without I/O: parses request bodies and writes answers, as
+//! messages or as the events of a stream. How a request is routed is described in docs/messages-api.md.
 
 mod answer;
 mod call;
@@ -79,8 +79,9 @@
     }
 }
 
-/// Estimates the number of tokens of a text without a tokenizer: one token for four ASCII characters and one for two other
-/// characters, each run rounded up. Answers and learned values use the counts reported by the engines instead.
+/// Estimates the number of tokens of a text without a tokenizer: one token for four ASCII characters and one
+/// for two other characters, each run rounded up. Answers and learned values use the counts reported by the
+/// engines instead.
 pub fn estimate_tokens(text: &str) -> u32 {
     let (mut tokens, mut ascii, mut other) = (0u32, 0u32, 0u32);
     for c in text.chars() {
--- a/crates/prefix/benches/index.rs
+++ b/crates/prefix/benches/index.rs
@@ -1,5 +1,5 @@
-//! Cost of the index: look-ups and reads by number of hosts and blocks and by prompt length, and tokens per memory. Ratios
-//! within one run are more meaningful than absolute times. No result makes the benchmark fail.
+//! Cost of the index: look-ups and reads by number of hosts and blocks and by prompt length, and tokens per
+//! memory. Ratios within one run are more meaningful than absolute times. No result makes the benchmark fail.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,8 +10,8 @@
 
 const KEY: Key = Key(*b"0123456789abcdef");
 
-/// The chain of a text of `tokens` tokens, the first `shared_tokens` of which are the same for all texts with the same
-/// `shared_text`.
+/// The chain of a text of `tokens` tokens, the first `shared_tokens` of which are the same for all texts with
+/// the same `shared_text`.
 fn chain(shared_text: u32, shared_tokens: u32, own_text: u64, tokens: u32) -> Vec<u64> {
     let mut text = String::new();
     while text.len() < (shared_tokens * 4) as usize {
@@ -44,7 +44,8 @@
     for hosts in [64u32, 512, 4096] {
         let mut index = Index::new(512 << 20);
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        // Each of 40 shared texts of 1,000 tokens is cached at a tenth of the hosts; each host has thirty sessions.
+        // Each of 40 shared texts of 1,000 tokens is cached at a tenth of the hosts; each host has thirty
+        // sessions.
         let (mut reads, mut prompts) = (Vec::new(), Vec::new());
         for host in 0..hosts {
             for i in 0..30u64 {
@@ -78,10 +79,10 @@
                 start.elapsed()
             })
             .collect();
-        let (blocks, held) = index.sizes();
+        let (blocks, holdings) = index.sizes();
         let found = found / times.len();
         println!(
-            "{hosts:>5} hosts, {blocks:>8} blocks, {held:>8} held: a prompt of 2,000 tokens {:>6.1} us ({found} hosts hold some), of 32,000 {:>6.1} us; a read {:>6.1} us",
+            "{hosts:>5} hosts, {blocks:>8} blocks, {holdings:>8} holdings: a prompt of 2,000 tokens {:>6.1} us ({found} hosts have some cached), of 32,000 {:>6.1} us; a read {:>6.1} us",
             median(times),
             median(long),
             median(reads),
@@ -101,12 +102,12 @@
         let start = Instant::now();
         index.clear_host(0);
         println!(
-            "{:>5} of which all hold one text: {:>6.1} us; a host forgets in {:.0} us",
+            "{:>5} hosts with the same text cached: {:>6.1} us; clearing a host: {:.0} us",
             hosts,
             median(worst),
             start.elapsed().as_nanos() as f64 / 1e3
         );
     }
     let index = Index::new(64 << 20);
-    println!("64 MiB: {} tokens of texts each held by three hosts", index.most_blocks() * BLOCK as usize);
+    println!("64 MiB: {} tokens of texts, each cached at three hosts", index.most_blocks() * BLOCK as usize);
 }
--- a/crates/prefix/src/chain.rs
+++ b/crates/prefix/src/chain.rs
@@ -1,13 +1,14 @@
-//! Prompts as chains of hashed blocks. Each hash covers its block and all blocks before it, so that one hash identifies a
-//! whole prefix. The hash is keyed (SipHash: Aumasson and Bernstein, 2012), so that clients can neither produce collisions
-//! nor infer a text from its hash. A salt per customer separates the texts of customers.
+//! Prompts as chains of hashed blocks. Each hash covers its block and all blocks before it, so that one hash
+//! identifies a whole prefix. The hash is keyed (SipHash: Aumasson and Bernstein, 2012), so that clients can
+//! neither produce collisions nor infer a text from its hash. A salt per customer separates the texts of
+//! customers.
 
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 
-/// Tokens per block, estimated as a quarter of a token for each ASCII byte and half a token for each other character. This
-/// is twice the block size of 16 tokens that engines commonly use for their caches: it halves the work, and less than one
-/// block of a cached text is overlooked.
+/// Tokens per block, estimated as a quarter of a token for each ASCII byte and half a token for each other
+/// character. This is twice the block size of 16 tokens that engines commonly use for their caches: it halves
+/// the work, and less than one block of a cached text is overlooked.
 pub const BLOCK: u32 = 32;
 
 /// The secret key of the hash.
@@ -15,7 +16,8 @@
 pub struct Key(pub [u8; 16]);
 
 impl Key {
-    /// Appends the hashes of the complete blocks of a text. Where a block begins depends only on the text before it.
+    /// Appends the hashes of the complete blocks of a text. Where a block begins depends only on the text
+    /// before it.
     pub fn chain(&self, salt: u64, text: &str, out: &mut Vec<u64>) {
         let (mut previous, mut from, mut quarter_tokens) = (salt, 0, 0);
         for (at, c) in text.char_indices() {
--- a/crates/prefix/src/confidence.rs
+++ b/crates/prefix/src/confidence.rs
@@ -1,39 +1,42 @@
-//! Confidence in the index. The reads (prefills) of a host confirm or contradict the estimates of what it has cached.
+//! Confidence in the index. The reads (prefills) of a host confirm or contradict the estimates of what it has
+//! cached.
 //!
-//! A host that clearly contradicts them twice in a row has lost its cache. While many hosts contradict them within a short
-//! time, the whole fleet is suspected: one contradiction is then enough for any host, and confidence in hosts without a
-//! read since then is lower. When many hosts lose their caches at once, this costs one or two reads per host. Without it,
-//! one read per text would be sent to a host that no longer has the text cached.
+//! A host that clearly contradicts them twice in a row has lost its cache. While many hosts contradict them
+//! within a short time, the whole fleet is suspected: one contradiction is then enough for any host, and
+//! confidence in hosts without a read since then is lower. When many hosts lose their caches at once, this
+//! costs one or two reads per host. Without it, one read per text would be sent to a host that no longer has
+//! the text cached.
 
 use std::time::Duration;
 
 /// Estimates of fewer cached blocks than this give no evidence: any eviction may take a block or two.
 const MIN_ESTIMATED_BLOCKS: u32 = 4;
 
-/// A read clearly contradicts the index if it found less than this part of the estimated blocks. Eviction takes the ends
-/// of texts; the loss of a cache takes their beginnings too.
+/// A read clearly contradicts the index if it found less than this part of the estimated blocks. Eviction
+/// takes the ends of texts; the loss of a cache takes their beginnings too.
 const CONTRADICTION_PART: f64 = 0.25;
 
-/// A read that found less than this part of the estimated blocks shows an eviction. The blocks are counted in estimated
-/// tokens, not in the engine's; in texts of mixed scripts the two counts differ by up to a fifth.
+/// A read that found less than this part of the estimated blocks shows an eviction. The blocks are counted in
+/// estimated tokens, not in the engine's; in texts of mixed scripts the two counts differ by up to a fifth.
 const EVICTION_PART: f64 = 0.8;
 
-/// Clear contradictions in a row after which a host is considered to have lost its cache. With one, a single evicted text
-/// would be enough.
+/// Clear contradictions in a row after which a host is considered to have lost its cache. With one, a single
+/// evicted text would be enough.
 const CONTRADICTIONS_FOR_LOSS: u32 = 2;
 
 /// The whole fleet is suspected if at least this part of the hosts with a recent read contradict the index.
 const FLEET_CONTRADICTION_PART: f64 = 0.3;
 
-/// How long the last read of a host counts as recent: several reads of each host, and a fraction of the pause between two
-/// requests of a session.
+/// How long the last read of a host counts as recent: several reads of each host, and a fraction of the pause
+/// between two requests of a session.
 const RECENT: Duration = Duration::from_secs(10);
 
-/// Minimum number of hosts with a recent read for suspecting the fleet: with fewer, one contradiction is no evidence.
+/// Minimum number of hosts with a recent read for suspecting the fleet: with fewer, one contradiction is no
+/// evidence.
 const MIN_FLEET_HOSTS: usize = 3;
 
-/// Decay of the earlier reads of a host with each new read: about five reads determine its confidence, as in the decision
-/// core.
+/// Decay of the earlier reads of a host with each new read: about five reads determine its confidence, as in
+/// the decision core.
 const DECAY: f64 = 0.8;
 
 /// What a read shows about the estimate.
@@ -138,7 +141,7 @@
         (entry.last_read, entry.contradicts) = (Some(now), contradicts);
         let cache_lost = entry.contradictions >= CONTRADICTIONS_FOR_LOSS || (contradicts && fleet_suspected);
         if cache_lost {
-            // The old holdings are dropped, so that the earlier reads say nothing about the new ones.
+            // The old holdings are dropped, so that earlier reads are no evidence about new ones.
             (entry.found, entry.estimated, entry.contradictions) = (16.0, 16.0, 0);
         }
         let recent_hosts = self
--- a/crates/prefix/src/entry_table.rs
+++ b/crates/prefix/src/entry_table.rs
@@ -1,6 +1,7 @@
-//! A hash table of entry numbers with a fixed size: open addressing with linear probing, and deletion that moves later
-//! entries up (Knuth, volume 3, section 6.4, algorithm R). Unlike the tables of common libraries it is never grown or
-//! rehashed, which would take one long step. The entries themselves are stored by the owner of the table.
+//! A hash table of entry numbers with a fixed size: open addressing with linear probing, and deletion that
+//! moves later entries up (Knuth, volume 3, section 6.4, algorithm R). Unlike the tables of common libraries
+//! it is never grown or rehashed, which would take one long step. The entries themselves are stored by the
+//! owner of the table.
 
 const EMPTY: u32 = u32::MAX;
 
@@ -11,8 +12,8 @@
 }
 
 impl EntryTable {
-    /// Upper limit of the memory per entry, in bytes: the number of slots is the least power of two that leaves a quarter
-    /// free.
+    /// Upper limit of the memory per entry, in bytes: the number of slots is the least power of two that
+    /// leaves a quarter free.
     pub const BYTES_PER_ENTRY: usize = 11;
 
     /// A table for at most `max_entries` entries.
--- a/crates/prefix/src/follow.rs
+++ b/crates/prefix/src/follow.rs
@@ -1,14 +1,15 @@
-//! Follows an engine that publishes the contents of its cache as events: blocks stored, with their parent, blocks removed,
-//! cache cleared. The events come in numbered batches, and a replay from a given number on can be requested. These are the
-//! events that public serving engines have in common.
+//! Follows an engine that publishes the contents of its cache as events: blocks stored, with their parent,
+//! blocks removed, cache cleared. The events come in numbered batches, and a replay from a given number on
+//! can be requested. These are the events that public serving engines have in common.
 //!
-//! Batches may be late, duplicated, reordered or lost; an engine may restart and count from 0 again; its replay buffer may
-//! not reach back to the start of a gap. The follower's output is in order, or says that everything known is invalid. No I/O.
+//! Batches may be late, duplicated, reordered or lost; an engine may restart and count from 0 again; its
+//! replay buffer may not reach back to the start of a gap. The follower's output is in order, or says that
+//! everything known is invalid. No I/O.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Maximum number of batches that wait behind a gap: about one second of a busy engine's events. Beyond that, a replay
-/// takes longer than starting again from nothing.
+/// Maximum number of batches that wait behind a gap: about one second of a busy engine's events. Beyond that,
+/// a replay takes longer than starting again from nothing.
 const MAX_PENDING_BATCHES: usize = 256;
 
 /// An event of an engine's cache.
@@ -66,8 +67,9 @@
     pub fn receive(&mut self, batch: Batch, out: &mut Vec<CacheEvent>) -> Request {
         let restarted = match (self.incarnation, batch.incarnation) {
             (Some(previous), Some(current)) => previous != current,
-            // Number 0 again without a replay request: taken for a restart. A duplicated first batch then costs the known
-            // blocks. Otherwise a restart could be missed, and blocks that are no longer cached would stay known.
+            // Number 0 again without a replay request: taken for a restart. A duplicated first batch then
+            // costs the known blocks. Otherwise a restart could be missed, and blocks that are no longer
+            // cached would stay known.
             _ => batch.number == 0 && self.next() > 0 && self.requested_from.is_none(),
         };
         if restarted {
@@ -149,7 +151,8 @@
 }
 
 impl CacheView {
-    /// A view of at most `max_blocks` blocks. Further blocks are ignored, so that fewer are known than cached.
+    /// A view of at most `max_blocks` blocks. Further blocks are ignored, so that fewer are known than
+    /// cached.
     pub fn new(max_blocks: usize) -> Self {
         CacheView { blocks: HashMap::new(), max_blocks }
     }
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -1,29 +1,30 @@
 //! Index of hashed prompt blocks and of the hosts that have them cached, in memory allocated once.
 //!
-//! A host that holds a block also holds all blocks before it in the text, as blocks are dropped from the ends of texts.
-//! The hosts of a block are therefore a superset of those of the next block. One walk from the last known block of a
-//! prompt back to the first gives the longest run of each host, and may skip blocks with as many hosts as the block
-//! after them.
+//! A host that holds a block also holds all blocks before it in the text, as blocks are dropped from the ends
+//! of texts. The hosts of a block are therefore a superset of those of the next block. One walk from the last
+//! known block of a prompt back to the first gives the longest run of each host, and may skip blocks with as
+//! many hosts as the block after them.
 
 use crate::entry_table::EntryTable;
 use std::time::Duration;
 
 const NONE: u32 = u32::MAX;
 
-/// Holdings (pairs of block and host) per block: a text in demand is cached at several hosts, a text requested once at
-/// one.
+/// Holdings (pairs of block and host) per block: a text in demand is cached at several hosts, a text
+/// requested once at one.
 const HOLDINGS_PER_BLOCK: usize = 3;
 
-/// Part of the blocks that may be marked as reused. The rest is left to blocks that were requested once, so that a flood
-/// of texts that are never requested again only evicts texts of its own sort.
+/// Part of the blocks that may be marked as reused. The rest is left to blocks that were requested once, so
+/// that a flood of texts that are never requested again only evicts texts of its own sort.
 const REUSED_PART: f64 = 0.8;
 
-/// A holding that is not read for this long is considered evicted. This is many times the pause between two requests of a
-/// session, and the caches of engines under load are replaced sooner.
+/// A holding that is not read for this long is considered evicted. This is many times the pause between two
+/// requests of a session, and the caches of engines under load are replaced sooner.
 const MAX_AGE: Duration = Duration::from_secs(600);
 
-/// Maximum number of holdings dropped for their age with each read, in addition to those that make room for the read
-/// itself. More than a read adds on average, so that the backlog is worked off, and few enough not to delay a read.
+/// Maximum number of holdings dropped for their age with each read, in addition to those that make room for
+/// the read itself. More than a read adds on average, so that the backlog is worked off, and few enough not
+/// to delay a read.
 const SWEEP_LIMIT: usize = 64;
 
 /// Lower limit of the learned capacity of a host, in blocks: a few long prompts.
@@ -112,13 +113,14 @@
 }
 
 fn pair_hash(block: u32, host: u32) -> u64 {
-    // Fibonacci hashing (Knuth, volume 3, section 6.4). The input is not under a client's control: both are small indices.
+    // Fibonacci hashing (Knuth, volume 3, section 6.4). The input is not under a client's control: both are
+    // small indices.
     ((u64::from(host) << 32) | u64::from(block)).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
 }
 
 impl Index {
-    /// An index of at most `bytes` bytes in all. Blocks and holdings are allocated now; the known hosts and the path of
-    /// one prompt come in addition, within the same limit.
+    /// An index of at most `bytes` bytes in all. Blocks and holdings are allocated now; the known hosts and
+    /// the path of one prompt come in addition, within the same limit.
     pub fn new(bytes: usize) -> Self {
         let bytes_per_block = size_of::<Block>()
             + EntryTable::BYTES_PER_ENTRY
@@ -205,8 +207,8 @@
         })
     }
 
-    /// For each host the number of blocks that it has cached from the start of a prompt, longest run first. Hosts without
-    /// any are left out.
+    /// For each host the number of blocks that it has cached from the start of a prompt, longest run first.
+    /// Hosts without any are left out.
     pub fn look_up(&mut self, chain: &[u64], out: &mut Vec<(u32, u32)>) {
         out.clear();
         self.path.clear();
@@ -240,8 +242,8 @@
         }
     }
 
-    /// Records that a host has read (prefilled) a prompt and has its blocks cached now. `evicted`: it had fewer of them
-    /// cached than estimated.
+    /// Records that a host has read (prefilled) a prompt and has its blocks cached now. `evicted`: it had
+    /// fewer of them cached than estimated.
     pub fn record_read(&mut self, now: Duration, host: u32, chain: &[u64], evicted: bool) {
         let now_ds = (now.as_millis() / 100).min(u128::from(u32::MAX - 1)) as u32;
         self.learn_capacity(host, evicted);
@@ -267,8 +269,9 @@
         self.sweep(host, now_ds);
     }
 
-    /// Learns the capacity of a host: a tenth below the estimated number of cached blocks if some of them were evicted,
-    /// and a hundredth more if the host is full and had all of them. Settles slightly below the true capacity.
+    /// Learns the capacity of a host: a tenth below the estimated number of cached blocks if some of them
+    /// were evicted, and a hundredth more if the host is full and had all of them. Settles slightly below the
+    /// true capacity.
     fn learn_capacity(&mut self, host: u32, evicted: bool) {
         let host = self.host(host);
         if evicted {
@@ -357,8 +360,8 @@
         }
     }
 
-    /// Makes room for a block: drops the oldest one without children that was requested once, otherwise the oldest reused
-    /// one. Blocks of `path` are kept.
+    /// Makes room for a block: drops the oldest one without children that was requested once, otherwise the
+    /// oldest reused one. Blocks of `path` are kept.
     fn make_room_for_block(&mut self, path: &[u32]) {
         for list in [self.once_list, self.reused_list] {
             let mut index = list.oldest;
@@ -478,7 +481,8 @@
         (self.holdings[index as usize].older, self.free_holdings) = (self.free_holdings, index);
     }
 
-    /// Removes a host's oldest holding, and its block if no host has it cached any more. Blocks of `path` are kept.
+    /// Removes a host's oldest holding, and its block if no host has it cached any more. Blocks of `path` are
+    /// kept.
     fn drop_oldest_holding_of(&mut self, host: u32, path: &[u32]) {
         let index = self.hosts[host as usize].list.oldest;
         let block = self.holdings[index as usize].block;
@@ -489,8 +493,8 @@
         }
     }
 
-    /// Makes room for a holding: drops the oldest block that was requested once, otherwise the oldest holding of the host
-    /// with most holdings. Blocks of `path` are kept.
+    /// Makes room for a holding: drops the oldest block that was requested once, otherwise the oldest holding
+    /// of the host with most holdings. Blocks of `path` are kept.
     fn make_room_for_holding(&mut self, path: &[u32]) {
         let mut index = self.once_list.oldest;
         while index != NONE {
@@ -549,8 +553,8 @@
         self.host(host).suspected = false;
     }
 
-    /// Records that a host has lost its cache: drops the holdings from before its suspicion began, or all of them if it is
-    /// not suspected.
+    /// Records that a host has lost its cache: drops the holdings from before its suspicion began, or all of
+    /// them if it is not suspected.
     pub fn drop_suspected_holdings(&mut self, host: u32) {
         if !self.host(host).suspected {
             self.suspect(host);
--- a/crates/prefix/src/lib.rs
+++ b/crates/prefix/src/lib.rs
@@ -1,8 +1,9 @@
 //! Estimates which host has which prompt prefixes cached, and with which confidence.
 //!
-//! Prompts are chains of hashed blocks ([`chain`]). Reads (prefills) are recorded by block and host ([`index`]). Comparing
-//! the estimates with what reads find cached gives a confidence per host and detects hosts, or whole fleets, that have
-//! lost their caches ([`confidence`]). [`follow`] processes the cache events of engines that publish them.
+//! Prompts are chains of hashed blocks ([`chain`]). Reads (prefills) are recorded by block and host
+//! ([`index`]). Comparing the estimates with what reads find cached gives a confidence per host and detects
+//! hosts, or whole fleets, that have lost their caches ([`confidence`]). [`follow`] processes the cache
+//! events of engines that publish them.
 //!
 //! No I/O, no clock and no randomness: the caller passes the time and the key of the hash.
 
@@ -54,8 +55,8 @@
         self.confidence.fleet_suspected()
     }
 
-    /// Updates a host from the host list: its cache capacity in blocks, where known; `restarted` if its process is a new
-    /// one, with an empty cache.
+    /// Updates a host from the host list: its cache capacity in blocks, where known; `restarted` if its
+    /// process is a new one, with an empty cache.
     pub fn listed(&mut self, host: u32, capacity: Option<u32>, restarted: bool) {
         self.index.set_capacity(host, capacity.unwrap_or(u32::MAX));
         if restarted {
@@ -81,8 +82,9 @@
         }
     }
 
-    /// Records that a host has read (prefilled) a prompt: `estimated` of its blocks were estimated to be cached, `found` were
-    /// cached, and all are cached now. Returns whether the read shows that the host had lost its cache.
+    /// Records that a host has read (prefilled) a prompt: `estimated` of its blocks were estimated to be
+    /// cached, `found` were cached, and all are cached now. Returns whether the read shows that the host had
+    /// lost its cache.
     pub fn read(&mut self, now: Duration, host: u32, chain: &[u64], estimated: u32, found: u32) -> bool {
         let evidence = self.confidence.record_read(now, host, estimated, found);
         match evidence {
--- a/crates/prefix/tests/confidence.rs
+++ b/crates/prefix/tests/confidence.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Seven of ten hosts lose their caches at once. Guards against one wasted read per text, and against lasting suspicion of
-/// the other hosts.
+/// Seven of ten hosts lose their caches at once. Guards against one wasted read per text, and against lasting
+/// suspicion of the other hosts.
 #[test]
 fn a_mass_cache_loss_costs_one_or_two_reads_per_host() {
     let mut confidence = Confidence::default();
@@ -63,7 +63,8 @@
             cache_lost = confidence.record_read(s(now), host, 40, 0) == Evidence::CacheLost;
         }
         assert!(confidence.of(s(now), host) == 1.0, "host {host}: new reads have full confidence");
-        // From the third of ten hosts on the fleet is suspected, with the hosts that have not read anything since.
+        // From the third of ten hosts on the fleet is suspected, with the hosts that have not read anything
+        // since.
         assert_eq!(confidence.fleet_suspected(), host >= 2, "host {host}");
         if host >= 2 {
             assert!(confidence.of(s(now), 9) < 0.75, "host {host}: {}", confidence.of(s(now), 9));
@@ -83,8 +84,8 @@
     assert!(!confidence.fleet_suspected(), "no host contradicts the index any more");
 }
 
-/// The same with the index: a host that has lost its cache is no longer reported for the lost texts, and what it reads
-/// afterwards is reported at once with full confidence.
+/// The same with the index: a host that has lost its cache is no longer reported for the lost texts, and what
+/// it reads afterwards is reported at once with full confidence.
 #[test]
 fn after_a_cache_loss_only_new_reads_count() {
     let key = Key([7; 16]);
@@ -104,7 +105,8 @@
         let estimated = estimates[0].blocks;
         assert_eq!(estimated as usize, chain(text).len());
         prefixes.read(s(2.0), 0, &chain(text), estimated, 0);
-        // A new text between the two contradictions has full confidence at once, while the old ones are suspected.
+        // A new text between the two contradictions has full confidence at once, while the old ones are
+        // suspected.
         prefixes.read(s(2.0), 0, &chain(60 + text), 0, 0);
         for (other, expected) in [(text, true), (60 + text, true), (49, false)] {
             prefixes.ask(s(2.0), &chain(other), &mut estimates);
--- a/crates/prefix/tests/flood.rs
+++ b/crates/prefix/tests/flood.rs
@@ -1,5 +1,5 @@
-//! Memory under a flood of texts, counted by the allocator. The test has a process of its own, so that nothing else is
-//! counted.
+//! Memory under a flood of texts, counted by the allocator. The test has a process of its own, so that
+//! nothing else is counted.
 
 use cap::Cap;
 use std::alloc::System;
@@ -20,8 +20,8 @@
     out
 }
 
-/// A flood of texts that are never requested again must not exceed the memory limit at any time, and must not evict texts
-/// in demand.
+/// A flood of texts that are never requested again must not exceed the memory limit at any time, and must not
+/// evict texts in demand.
 #[test]
 fn a_flood_stays_below_the_memory_limit_and_keeps_texts_in_demand() {
     const LIMIT_BYTES: usize = 2 << 20;
--- a/crates/prefix/tests/follow.rs
+++ b/crates/prefix/tests/follow.rs
@@ -1,6 +1,6 @@
-//! A follower against an engine that restarts, has a short replay buffer, and whose batches are lost, duplicated, late and
-//! reordered. Once the connection is reliable, the follower has to arrive at the engine's batch number and must not report
-//! blocks that are not cached.
+//! A follower against an engine that restarts, has a short replay buffer, and whose batches are lost,
+//! duplicated, late and reordered. Once the connection is reliable, the follower has to arrive at the
+//! engine's batch number and must not report blocks that are not cached.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -19,8 +19,8 @@
 #[test]
 fn gaps_duplicates_and_restarts_are_detected() {
     type Case = (&'static str, &'static [(u64, Option<u64>)], &'static [u64], Request, bool);
-    // Batches as (number, incarnation); the numbers that came out in order; the request after the last batch; whether
-    // everything known was invalidated at some time.
+    // Batches as (number, incarnation); the numbers that came out in order; the request after the last batch;
+    // whether everything known was invalidated at some time.
     let cases: [Case; 9] = [
         ("in order", &[(0, None), (1, None), (2, None)], &[0, 1, 2], Request::Nothing, false),
         ("a gap", &[(0, None), (2, None)], &[0], Request::Replay { from: 1 }, false),
@@ -77,8 +77,8 @@
     assert_eq!(out, [CacheEvent::Cleared], "what was known before the gap is invalid");
     assert_eq!(follower.receive(batch(8, None), &mut out), Request::Nothing);
     assert_eq!(follower.next(), 10);
-    // The gap is never closed and thousands of batches follow: memory stays bounded, and the follower starts again from
-    // the newest batch.
+    // The gap is never closed and thousands of batches follow: memory stays bounded, and the follower starts
+    // again from the newest batch.
     out.clear();
     for number in 11..5000 {
         follower.receive(batch(number, None), &mut out);
--- a/crates/prefix/tests/model.rs
+++ b/crates/prefix/tests/model.rs
@@ -1,4 +1,5 @@
-//! The index against a simple model, a map of everything, under random reads, cache losses, capacities and look-ups.
+//! The index against a simple model, a map of everything, under random reads, cache losses, capacities and
+//! look-ups.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -81,8 +82,8 @@
     }
 }
 
-/// With too little memory, the index never reports more than the model has; a host never has more blocks than its capacity,
-/// and always the beginning of what it has read last.
+/// With too little memory, the index never reports more than the model has; a host never has more blocks than
+/// its capacity, and always the beginning of what it has read last.
 #[test]
 fn with_too_little_memory_it_reports_less_but_never_more() {
     for seed in 0..40 {
@@ -136,8 +137,8 @@
     assert_eq!(index.sizes().0, new.len(), "blocks without holdings are dropped too");
 }
 
-/// The same prefix gives the same hashes, whatever follows; another salt or key gives other hashes; characters are never
-/// split.
+/// The same prefix gives the same hashes, whatever follows; another salt or key gives other hashes;
+/// characters are never split.
 #[test]
 fn chains_depend_on_content_salt_and_key() {
     let (one, other) = (text(&[1, 2, 3, 3, 3]), text(&[1, 2, 4, 4, 4]));
@@ -145,7 +146,8 @@
     let same = a.iter().zip(&b).take_while(|(a, b)| a == b).count();
     let shared = one.bytes().zip(other.bytes()).take_while(|(a, b)| a == b).count();
     assert!(same > 0 && same < a.len(), "{same} of {}", a.len());
-    // All complete blocks of the shared prefix. 128 bytes are one block of ASCII; other text has fewer tokens per byte.
+    // All complete blocks of the shared prefix. 128 bytes are one block of ASCII; other text has fewer tokens
+    // per byte.
     assert!((shared / (4 * BLOCK as usize)) <= same, "{same} blocks of {shared} bytes");
     assert_eq!(chain(&format!("{one}{}", "x".repeat(1000)))[..a.len()], a[..]);
     let mut salted = Vec::new();
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,5 +1,5 @@
-//! Validation of settings and host lists. All violations are reported at once: first those of the schema, then, if there
-//! are none, those that a schema cannot express.
+//! Validation of settings and host lists. All violations are reported at once: first those of the schema,
+//! then, if there are none, those that a schema cannot express.
 
 use crate::{Effect, HostList, Settings};
 use schemars::schema_for;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Settings of a dispatcher: JSON with a published schema. [`check`] reports every error at once with its JSON
-//! pointer; [`Settings::terms`] converts the settings to the flat map that the decision core takes at start.
+//! Settings of a dispatcher: JSON with a published schema. [`check`] reports every error at once with its
+//! JSON pointer; [`Settings::terms`] converts the settings to the flat map that the decision core takes at
+//! start.
 
 mod check;
 
@@ -30,7 +31,8 @@
     /// Zone of this dispatcher.
     #[serde(default)]
     pub zone: String,
-    /// All zones, in the order of their indices. Zones that only the host list names are numbered after these.
+    /// All zones, in the order of their indices. Zones that only the host list names are numbered after
+    /// these.
     #[serde(default)]
     pub zones: Vec<String>,
     /// Number of dispatchers that send to the same hosts.
@@ -45,7 +47,8 @@
     /// Offerings (service classes). Clients select one with the `model` field of a request.
     #[schemars(length(min = 1))]
     pub offerings: Vec<Offering>,
-    /// Customers and their API keys. If empty, requests with any key, or without one, are accepted as one customer.
+    /// Customers and their API keys. If empty, requests with any key, or without one, are accepted as one
+    /// customer.
     #[serde(default)]
     pub customers: Vec<Customer>,
     /// Kinds (types) of hosts. Each entry of the host list names one of them.
@@ -92,12 +95,12 @@
     #[serde(default = "defaults::pace")]
     #[schemars(range(min = 0.001))]
     pub token_pace_ms: f64,
-    /// A request without a first token after this time is ended, in milliseconds. A shorter time-out given by the
-    /// client takes precedence.
+    /// A request without a first token after this time is ended, in milliseconds. A shorter time-out given by
+    /// the client takes precedence.
     #[schemars(range(min = 1, max = 3_600_000))]
     pub hard_stop_ms: u64,
-    /// Worth of a request relative to the other offerings. Under overload, offerings of lower gain are admitted
-    /// to shorter queues only.
+    /// Worth of a request relative to the other offerings. Under overload, offerings of lower gain are
+    /// admitted to shorter queues only.
     #[serde(default = "defaults::gain")]
     pub gain: f64,
     /// Whether a request may be sent again after an attempt that may have run.
@@ -122,15 +125,17 @@
     /// May run any number of times.
     #[default]
     Replayable,
-    /// Carries a reference by which the hosts of its group discard repeats within a time window. It is sent again
-    /// only to a host of that group and within that window.
+    /// Carries a reference by which the hosts of its group discard repeats within a time window. It is sent
+    /// again only to a host of that group and within that window.
     Referenced,
     /// Must not run twice: it is not sent again once an attempt may have run.
     SingleUse,
 }
 
-/// Group of hosts that discard repeats of a request among themselves: all hosts, those of a zone, or those of a cell.
-// No doc comments on the variants: they would change the schema from `enum` to `oneOf`, and with it the error texts.
+/// Group of hosts that discard repeats of a request among themselves: all hosts, those of a zone, or those of
+/// a cell.
+// No doc comments on the variants: they would change the schema from `enum` to `oneOf`, and with it the error
+// texts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
@@ -166,8 +171,8 @@
     pub memory_tokens: Option<u64>,
 }
 
-/// What the hosts of a kind do: `read` prefills prompts and keeps the resulting state (KV cache), `write` fetches that
-/// state and streams the answer (decode), `both` does both.
+/// What the hosts of a kind do: `read` prefills prompts and keeps the resulting state (KV cache), `write`
+/// fetches that state and streams the answer (decode), `both` does both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum KindRole {
@@ -184,16 +189,16 @@
     pub warm_up_ms: u64,
     /// Part of its capacity that a host has at its start, above 0 and at most 1.
     pub cold_from: f64,
-    /// A host that is still warming up fails if, for `fall_ms`, it is sent more than this multiple of its current
-    /// capacity.
+    /// A host that is still warming up fails if, for `fall_ms`, it is sent more than this multiple of its
+    /// current capacity.
     pub fall_multiple: f64,
     /// How long such an overload has to last before the host fails, in milliseconds.
     pub fall_ms: u64,
-    /// No new request may reach a host later than this after the dispatcher was informed that the host is draining
-    /// or gone, in milliseconds. The dispatcher itself stops sending as soon as it is informed.
+    /// No new request may reach a host later than this after the dispatcher was informed that the host is
+    /// draining or gone, in milliseconds. The dispatcher itself stops sending as soon as it is informed.
     pub drain_grace_ms: u64,
-    /// A state that a reader holds while no attempt is in progress is fetched or released within this time, in
-    /// milliseconds.
+    /// A state that a reader holds while no attempt is in progress is fetched or released within this time,
+    /// in milliseconds.
     pub release_ms: u64,
 }
 
@@ -247,7 +252,8 @@
 
 impl Default for Prefixes {
     fn default() -> Self {
-        // Enough for texts of twelve million tokens, each cached at three hosts: the memory of about sixty hosts.
+        // Enough for texts of twelve million tokens, each cached at three hosts: the memory of about sixty
+        // hosts.
         Prefixes { by: PrefixBy::Content, bytes: 64 << 20, customers_apart: true }
     }
 }
@@ -259,7 +265,7 @@
     /// Index of hashed blocks of the prompts; finds prefixes of any length.
     #[default]
     Content,
-    /// Table by session and shared text, with up to four readers for each entry, kept for one minute.
+    /// Table by session and shared text, with up to four readers per entry and a lifetime of one minute.
     Table,
     /// No estimates; for comparisons.
     Nothing,
@@ -306,7 +312,8 @@
     pub events: usize,
     /// Maximum number of requests in progress. Further requests get an overload error.
     pub tasks: usize,
-    /// Maximum text of one answer in progress that is held so that another writer can resume the answer, in bytes.
+    /// Maximum text of one answer in progress that is held so that another writer can resume the answer, in
+    /// bytes.
     pub answer_bytes: usize,
     /// Maximum text held for all answers in progress together, in bytes.
     pub answers_bytes: usize,
@@ -336,7 +343,8 @@
             tasks: 20_000,
             answer_bytes: 256 << 10,
             answers_bytes: 64 << 20,
-            // About 200 answers of 1,000 tokens; a reader of ordinary speed prefills them in about ten seconds.
+            // About 200 answers of 1,000 tokens; a reader of ordinary speed prefills them in about ten
+            // seconds.
             reread_tokens: 200_000,
             // Prefills for lost answers are at most a fifth of all prefills.
             reread_share: 0.25,
@@ -357,8 +365,8 @@
     pub body_ms: u64,
     /// Time after which an idle client connection is closed, in milliseconds.
     pub keep_alive_ms: u64,
-    /// Time after which an idle connection to a host is closed, in milliseconds. It should be shorter than the idle
-    /// time-out of the hosts.
+    /// Time after which an idle connection to a host is closed, in milliseconds. It should be shorter than
+    /// the idle time-out of the hosts.
     pub host_idle_ms: u64,
     /// Time-out for connecting to a host, in milliseconds.
     pub connect_ms: u64,
@@ -366,13 +374,13 @@
     pub client_stall_ms: u64,
     /// A writer that sends nothing for this long within an answer is considered lost, in milliseconds.
     pub writer_stall_ms: u64,
-    /// A draining host is expected to abort what still runs on it after this time, in milliseconds. Streams that
-    /// would take longer move to another writer.
+    /// A draining host is expected to abort what still runs on it after this time, in milliseconds. Streams
+    /// that would take longer move to another writer.
     pub host_drain_ms: u64,
     /// A stream in progress gets a ping event when nothing was sent for this long, in milliseconds.
     pub ping_ms: u64,
-    /// Answers are given this long before the client's time-out, in milliseconds, to allow for the network and the
-    /// resolution of the clock.
+    /// Answers are given this long before the client's time-out, in milliseconds, to allow for the network
+    /// and the resolution of the clock.
     pub answer_margin_ms: u64,
     /// After a stop signal, requests in progress may finish within this time, in milliseconds.
     pub drain_ms: u64,
@@ -521,8 +529,8 @@
     pub standing: HostStanding,
 }
 
-/// Status of a host: `running` hosts get new requests; `draining` hosts finish theirs and get no new ones; `gone` hosts
-/// are no longer in service.
+/// Status of a host: `running` hosts get new requests; `draining` hosts finish theirs and get no new ones;
+/// `gone` hosts are no longer in service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum HostStanding {
@@ -536,8 +544,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct HostList {
-    /// Version of the list. A list whose version is not higher than that of the last one is ignored; a list of
-    /// version 0 is always applied.
+    /// Version of the list. A list whose version is not higher than that of the last one is ignored; a list
+    /// of version 0 is always applied.
     #[serde(default)]
     pub version: u64,
     /// True: the list is complete, and hosts that are not in it are gone.
