--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at one host, from the connection to what its end proves. Nothing is repeated here: what to do after an
-//! end is decided above.
+//! One attempt (shot) at one host, from connecting to the outcome that its end proves. Nothing is retried
+//! here: what follows an end is decided by the rules.
 
 use crate::front::Message;
 use crate::hosts::Way;
@@ -28,29 +28,30 @@
     pub begin_by: Instant,
 }
 
-/// A stream whose first event has come, handed to the client's coroutine with all that it needs to end it.
+/// A stream whose first event has arrived, handed to the client's coroutine with everything needed to end it.
 pub struct Begun {
     pub attempt: Closing,
     pub way: Arc<Way>,
     pub reply: Reply,
     pub events: Events,
-    /// What has come and was not passed on yet.
+    /// Events that have been received and not yet passed on.
     pub bytes: Vec<u8>,
     pub ended: bool,
 }
 
-/// Owes the decisions the end of an attempt: told as broken if dropped without, as by a panic.
+/// Reports the end of an attempt to the decisions, exactly once: dropped without a report, as by a panic, it
+/// reports the attempt as broken.
 pub struct Closing {
     shared: Arc<Shared>,
     id: TaskId,
     number: u32,
     told: bool,
-    /// Where it is out.
+    /// The endpoint that the attempt is counted at as in flight.
     at: Option<Arc<Way>>,
 }
 
 impl Closing {
-    /// Its request is written from here on.
+    /// Counts the attempt as in flight: its request is written after this.
     fn is_out(&mut self, way: &Arc<Way>) {
         way.out.fetch_add(1, Ordering::Relaxed);
         self.at = Some(way.clone());
@@ -83,7 +84,7 @@
     Begins(Box<(Reply, Events, Vec<u8>, bool)>),
 }
 
-/// No answer, or none that can be read: the host may have begun.
+/// Outcome without an answer, or with one that cannot be read: the host may have started.
 fn unanswered(fault: Fault) -> Outcome {
     match fault {
         Fault::TimedOut => Outcome::TimedOut,
@@ -92,15 +93,15 @@
     }
 }
 
-/// No connection, so that provably nothing has run; the host is to blame only for what is its own.
+/// Outcome without a connection: provably nothing has run. The host is blamed only for its own faults.
 fn unconnected(fault: Fault) -> Outcome {
     if fault == Fault::OwnMachine { Outcome::Moot } else { Outcome::NoConnection }
 }
 
-/// How long to wait before another try where the own machine lacked something.
+/// Delay before another try to connect after a local shortage.
 const AGAIN: Duration = Duration::from_millis(10);
 
-/// For how long that is tried.
+/// For how long a local shortage is retried.
 const AGAIN_FOR: Duration = Duration::from_millis(50);
 
 fn left(until: Instant) -> Duration {
@@ -108,13 +109,13 @@
 }
 
 impl Shared {
-    /// A kept connection to a host that is worth writing to, and how long it was idle.
+    /// A pooled connection to a host that is worth using, and how long it was idle.
     fn kept(&self, way: &Way) -> Option<(Link, Duration)> {
         let now = self.now();
         way.pool.idle_if(|idle| lock(&self.kept).trusts(now, idle))
     }
 
-    /// A kept connection, and how long it was idle; else a new one.
+    /// A pooled connection, with its idle time; otherwise a new one.
     pub fn link(&self, way: &Way, within: Duration) -> Result<(Link, Option<Duration>), Fault> {
         match self.kept(way) {
             Some((link, idle)) => Ok((link, Some(idle))),
@@ -122,8 +123,8 @@
         }
     }
 
-    /// A new connection. What the own machine lacks may be there in a moment: it is tried again for a short while, which
-    /// its host would be taken to be slow for if it were long.
+    /// A new connection. A local shortage of descriptors or ports may pass in a moment, so connecting is
+    /// retried, but only for a short time: a long delay would make the host appear slow.
     pub fn new_link(&self, way: &Way, within: Duration) -> Result<Link, Fault> {
         let within = self.connect.min(within);
         let (until, again_until) = (Instant::now() + within, Instant::now() + within.min(AGAIN_FOR));
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Whether a shot finds a connection, or room for one: idle ones go first where there is none.
+    /// Whether an attempt can get a connection. Closes the idle ones if there is no descriptor left for a new
+    /// one.
     fn has_room(&self, way: &Way) -> bool {
         let room = || self.room.connects(sockets_held());
         way.pool.any() || room() || {
@@ -153,7 +155,7 @@
     }
 }
 
-/// Puts a connection back whose answer has ended in good order.
+/// Returns a connection to the pool once its answer has ended properly.
 pub fn give_back(shared: &Shared, way: &Way, reply: Reply) {
     if reply.reader.reusable() {
         shared.hosts.keep(shared, way, reply.link);
@@ -176,13 +178,14 @@
             Err(outcome) => {
                 let outcome = self.seen(outcome);
                 self.note(&way, outcome, sent, 0);
-                // It may have been read all the same, and then a state waits there.
+                // The host may have read the prompt all the same, and then it holds a state.
                 let state = (self.reads && !outcome.never_ran()).then(|| self.task.call.id.clone());
                 closing.close(outcome, End { state, host: self.host, ..End::default() });
             }
             Ok(Done::Begins(begins)) => {
                 if !self.out.begin() || !self.task.take(self.number) {
-                    // Another answer was first: this one is thrown away, and its writer told by the end.
+                    // Another answer was first: this one is discarded, and the end of its connection informs
+                    // the writer.
                     begins.0.link.shut();
                     return closing.close(Outcome::Cancelled, End::default());
                 }
@@ -204,7 +207,7 @@
         tracing::debug!(id, shot = self.number, host, reads = self.reads, ?outcome, after, ms, kept, "shot");
     }
 
-    /// A shot that was called off ends so, whatever its socket said.
+    /// The outcome to report: a cancelled attempt ends as cancelled, whatever its socket returned.
     fn seen(&self, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Moot | Outcome::NoConnection => outcome,
@@ -213,8 +216,8 @@
         }
     }
 
-    /// Whether nobody waits any more, looked at where the client's connection is: at a loaded core whoever reads there
-    /// may not have had its turn. The task ends by that.
+    /// Whether the client has disconnected, read from its connection directly: on a loaded core the coroutine
+    /// that reads there may not have been scheduled yet. If so the task is ended.
     fn client_is_gone(&self) -> bool {
         let gone = self.task.client_is_gone();
         if gone && self.task.close() {
@@ -225,7 +228,7 @@
     }
 
     fn shoot(&self, way: &Arc<Way>, closing: &mut Closing) -> Result<Done, Outcome> {
-        // Told to drain or gone since it was decided, or called off: provably never sent.
+        // Drained or removed since the decision, or cancelled: provably never sent.
         let may = || (way.open() && !self.out.cancelled()).then_some(()).ok_or(Outcome::Moot);
         may()?;
         let within = left(self.until.min(self.begin_by));
@@ -244,7 +247,7 @@
             return Err(Outcome::Moot);
         }
         closing.is_out(way);
-        // Until its last byte is written nobody runs it.
+        // Nobody runs a request before its last byte is written.
         link.write(&request, self.until.min(self.begin_by)).map_err(|_| Outcome::NoConnection)?;
         let (id, bytes, idle_ms) = (&task.call.id, request.len(), idle.map(|idle| idle.as_millis() as u64));
         tracing::debug!(id, attempt = self.number, host = way.name, bytes, idle_ms, "attempt written");
@@ -258,7 +261,7 @@
         {
             lock(&self.shared.kept).used(self.shared.now(), idle, lost);
             if lost {
-                // It may have run all the same; its host is not to blame for what the way to it does.
+                // It may have run all the same; the host is not blamed for a fault of the connection.
                 return Err(Outcome::Stale);
             }
         }
@@ -275,7 +278,7 @@
                 Ok(Done::Ended(Outcome::Read, end))
             }
             Says::Ended(outcome) => {
-                // The answer stands in the head: no task waits for the rest, which may never come.
+                // The head is enough for an answer: no task waits for the rest, which may never arrive.
                 if reply.reader.body(&mut Vec::new()).is_ok_and(|ended| ended) {
                     give_back(&self.shared, way, reply);
                 }
@@ -289,7 +292,8 @@
         let by = self.until.min(Instant::now() + patience::BEGUN);
         loop {
             got.clear();
-            // Its head has come, so that it has run: whatever becomes of the rest, its state is gone.
+            // The head of the answer has arrived, so the attempt has run: whatever happens to the rest, its
+            // state is gone.
             let ended = reply.body(&mut got, by).map_err(|_| Outcome::Spoilt)?;
             events.take(&got, &mut bytes).map_err(|_| Outcome::Spoilt)?;
             if events.any {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -1,5 +1,5 @@
-//! Clients' connections. Two coroutines each: one reads requests and notices when the client leaves, the other answers
-//! them in their order.
+//! Clients' connections. Each has two coroutines: one reads requests and notices when the client disconnects,
+//! the other answers them in order.
 
 use crate::attempt::Begun;
 use crate::owner::Post;
@@ -22,19 +22,20 @@
 
 const REQUESTS: Limits = Limits { head: 8192, line: 4096, headers: 48, body: BODY };
 
-/// Clients send one request at a time; what is sent far ahead hides whether its sender is still there.
+/// Clients send one request at a time; unread requests far ahead would hide whether the client is still
+/// connected.
 const TOO_MANY: Refusal = Refusal::Malformed("too many requests at once");
 
-/// How long a write may wait for a client that does not read.
+/// Time limit for a write to a client that does not read.
 const STALL: Duration = Duration::from_secs(5);
 
-/// What the coroutine that answers is told.
+/// Messages to the coroutine that answers.
 pub enum Message {
     Request(Box<Head>, Vec<u8>),
-    /// The client waits to be told to send its body.
+    /// The client waits for `100 Continue` before it sends its body.
     Continue,
     Refused(Refusal),
-    /// The client has left, was idle for too long, or took too long for a request.
+    /// The client has disconnected, was idle for too long, or took too long to send a request.
     Left {
         late: bool,
     },
@@ -49,31 +50,31 @@
     BrokenOff {
         id: TaskId,
     },
-    /// A shot saw that the client has left, and closed its task.
+    /// An attempt noticed that the client has disconnected, and closed its task.
     Gone {
         id: TaskId,
     },
 }
 
-/// What both coroutines of a connection and whoever makes room know.
+/// State of a connection that its two coroutines share with the eviction of clients.
 pub struct Client {
     link: Link,
     left: AtomicBool,
-    /// Requests read and not answered yet, and whether part of one has come: else it is idle.
+    /// Requests that are read and not answered yet, and flags; zero if the connection is idle.
     busy: AtomicUsize,
-    /// Requests answered.
+    /// The number of answered requests.
     answered: AtomicUsize,
-    /// The host whose stream it gets, to be shut when the client leaves.
+    /// The host connection of the stream that the client receives, shut when the client disconnects.
     host: Mutex<Option<Link>>,
-    /// When its connection came up, then when its last answer ended.
+    /// When the connection was accepted; later, when its last answer ended.
     since: Mutex<Instant>,
 }
 
-/// Set in `busy` once the connection was ended as idle: what is read from then on is nobody's.
+/// Flag in `busy`: the connection was closed as idle, and requests read from then on are ignored.
 const ENDED: usize = 1 << (usize::BITS - 1);
-/// Set in `busy` while part of a request has come and the rest has not: it is owed an answer once it is whole.
+/// Flag in `busy`: part of a request has been received; once it is whole it has to be answered.
 const PART: usize = ENDED >> 1;
-/// The rest of `busy`: whole requests.
+/// Mask of `busy` for the number of whole requests.
 const WHOLE: usize = PART - 1;
 
 impl Client {
@@ -96,28 +97,29 @@
         self.left.load(Ordering::Acquire)
     }
 
-    /// Whether it has left, also where that has not been read yet.
+    /// Whether the client has disconnected, even if its reader has not noticed yet.
     pub fn gone(&self) -> bool {
         self.left() || self.link.ended()
     }
 
-    /// Changes `busy` unless the connection was ended before.
+    /// Changes `busy` unless the connection has been ended.
     fn counts(&self, change: impl Fn(usize) -> usize) -> Option<usize> {
         let change = |busy: usize| (busy & ENDED == 0).then(|| change(busy));
         self.busy.fetch_update(Ordering::SeqCst, Ordering::SeqCst, change).ok()
     }
 
-    /// One more request is read: how many are in hand with it, or none if the connection was ended before.
+    /// Counts one more request: returns how many are open with it, or `None` if the connection has been
+    /// ended.
     fn takes(&self) -> Option<usize> {
         self.counts(|busy| (busy & !PART) + 1).map(|before| (before & WHOLE) + 1)
     }
 
-    /// Part of a request has come, or has not; false if the connection was ended before.
+    /// Records whether part of a request has been received; false if the connection has been ended.
     fn has_part(&self, part: bool) -> bool {
         self.counts(|busy| if part { busy | PART } else { busy & !PART }).is_some()
     }
 
-    /// A request has been answered; whether any other waits, and whether part of one has come.
+    /// Records an answer: returns whether another request waits, and whether part of one has been received.
     fn answered(&self) -> (bool, bool) {
         self.answered.fetch_add(1, Ordering::Relaxed);
         *lock(&self.since) = Instant::now();
@@ -125,7 +127,7 @@
         ((before & WHOLE) > 1, before & PART != 0)
     }
 
-    /// Whether part of a request has come.
+    /// Whether part of a request has been received.
     fn is_part(&self) -> bool {
         self.busy.load(Ordering::SeqCst) & PART != 0
     }
@@ -152,18 +154,20 @@
         before.is_ok()
     }
 
-    /// Ends the connection if nothing of a request has come; of that and a request that comes in this moment one holds.
+    /// Ends the connection if no part of a request has been received; if a request arrives at the same
+    /// moment, only one of the two takes effect.
     fn end_if_idle(&self) -> bool {
         self.ends_if(|busy| busy == 0)
     }
 
-    /// As [`Client::end_if_idle`], also if part of a request has come: its sender is told so.
+    /// Like [`Client::end_if_idle`], also if part of a request has been received: then the client gets an
+    /// answer that says so.
     fn end_if_nothing_whole(&self) -> bool {
         self.ends_if(|busy| busy & !PART == 0)
     }
 
-    /// Reads and throws away what still comes, up to so many bytes, so that its end is seen behind it; until what was read
-    /// before has been answered, which ends the connection.
+    /// Reads and discards input up to a limit, so that the client's disconnect is noticed; ends when the
+    /// requests read before have been answered, as that closes the connection.
     fn swallow(&self) {
         let (mut buffer, mut left) = ([0; READ], SWALLOWS);
         while left > 0 {
@@ -204,13 +208,13 @@
         lock(&self.open).len()
     }
 
-    /// Without those that are being ended.
+    /// The number of clients without those that are being closed.
     fn present(&self) -> usize {
         lock(&self.open).iter().filter(|(_, client)| !client.left()).count()
     }
 
-    /// Closes every connection without a request. One that has just come up is left the time in which its client sends
-    /// the first.
+    /// Closes every connection without a request. One that was just accepted is left open for the time in
+    /// which its client sends the first request.
     pub fn close_idle(&self) {
         for (_, client) in lock(&self.open).iter() {
             let asks = client.answered.load(Ordering::Relaxed) == 0 && client.since().elapsed() < FIRST;
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Makes room for one more client; whether somebody could go.
+    /// Evicts a client to make room for one more; returns whether one could be evicted.
     fn make_room(&self, shared: &Shared) -> bool {
         let open = lock(&self.open);
         let idle = open.iter().filter(|(_, client)| !client.waits() && !client.left());
@@ -233,8 +237,9 @@
 }
 
 impl Shared {
-    /// Lets whoever goes have its turn. Its descriptor is back within moments: many that come at once must not outrun
-    /// that, and else wait for nothing, as others do behind them in the queue.
+    /// Lets the coroutines of an evicted client run. Its descriptor is free within moments: when descriptors
+    /// are short, many connections arriving at once must not outrun that; otherwise there is nothing to wait
+    /// for, and other coroutines in the queue take their turn.
     fn lets_go(&self) {
         if self.room.is_short(sockets_held()) {
             tulipstall_net::sleep(Duration::from_millis(2));
@@ -244,7 +249,7 @@
     }
 }
 
-/// Tells a stop that nobody accepts any more.
+/// Records that the accepting coroutine has ended, which a stop waits for.
 struct Accepts(Arc<Shared>);
 
 impl Drop for Accepts {
@@ -261,7 +266,8 @@
             let link = match listener.accept() {
                 Ok((link, _)) => link,
                 Err(error) => {
-                    // Only descriptors come back by closing what is kept; the rest passes by itself.
+                    // Closing idle connections helps only against a lack of descriptors; other errors pass by
+                    // themselves.
                     if errors::tells(&error) == Tells::NoDescriptor {
                         shared.hosts.clear();
                     }
@@ -271,7 +277,7 @@
                 }
             };
             let (clients, held) = (shared.clients.present() + 1, sockets_held());
-            // Once it is here: whoever makes room for one that may come later is refused what it made.
+            // Evicts only after accepting: room made for a connection that may come later is lost to others.
             let goes = shared.room.must_go(clients, held);
             let made = match goes {
                 None => true,
@@ -306,7 +312,7 @@
     });
 }
 
-/// Reads requests until the client leaves.
+/// Reads requests until the client disconnects.
 fn read(shared: &Shared, client: &Client, inbox: &Sender<Message>) -> Message {
     let mut reader = RequestReader::new(REQUESTS);
     let mut since: Option<Instant> = None;
@@ -332,7 +338,8 @@
                 if begun && since.is_none() {
                     since = Some(if first { client.since() } else { Instant::now() });
                 }
-                // Timed from the end of what was owed before: while an answer is owed its connection is not ended.
+                // Timed from the end of the answer before: while an answer is pending its connection is not
+                // ended.
                 let waits = client.waits();
                 let until = match since {
                     Some(since) => since.max(client.since()) + REQUEST,
@@ -340,7 +347,7 @@
                     None => Instant::now() + shared.room.idle(shared.clients.count()),
                 };
                 let mut buffer = [0; READ];
-                // The last answer's end sets the time.
+                // No time limit while an answer is pending: the end of the last answer sets it.
                 match client.link.read_until(&mut buffer, (!waits).then_some(until)) {
                     Ok(got) if got > 0 => reader.feed(&buffer[..got]),
                     Err(Fault::TimedOut) => return Message::Left { late: since.is_some() },
@@ -351,7 +358,7 @@
     }
 }
 
-/// Tells whoever answers that nobody reads any more, however that ended.
+/// Informs the answering coroutine that the reading one has ended, for whatever reason.
 struct Reading {
     client: Arc<Client>,
     to: Sender<Message>,
@@ -364,7 +371,7 @@
     }
 }
 
-/// Ends the connection of whoever answered, however that ended.
+/// Closes the connection when the answering coroutine ends, for whatever reason.
 struct Answering(Arc<Client>);
 
 impl Drop for Answering {
@@ -383,7 +390,8 @@
         let refused = matches!(end, Message::Refused(_));
         let _ = reading.to.send(end);
         if refused {
-            // What was read before is still answered, but for nobody once the client leaves or keeps on sending.
+            // Requests read before are still answered, but for nobody once the client disconnects or keeps on
+            // sending.
             reading.client.swallow();
         }
     });
@@ -395,8 +403,8 @@
     let had_left = client.left();
     client.leaves();
     if !had_left && shared.room.lingers(sockets_held()) {
-        // Closed over bytes that nobody has read, it would take the answer under way along. They stay unread: whose
-        // request crosses the end asks again elsewhere.
+        // Closing a socket with unread input would also discard the answer in transit. That input stays
+        // unread: a client whose request crosses the close sends it again elsewhere.
         client.link.finish();
         for _ in 0..LINGERS.as_millis() / 10 {
             tulipstall_net::sleep(Duration::from_millis(10));
@@ -407,7 +415,7 @@
     }
 }
 
-/// Takes a client off the list once both its coroutines have ended, also where one panics.
+/// Removes a client from the list once both its coroutines have ended, also if one panics.
 struct CountOut {
     shared: Arc<Shared>,
     at: usize,
@@ -419,7 +427,7 @@
     }
 }
 
-/// Frees what a task in hand has, once its client has had its last byte.
+/// Releases what an open task holds, once its client has had its last byte.
 struct InHand<'a> {
     shared: &'a Shared,
     id: String,
@@ -432,7 +440,7 @@
     }
 }
 
-/// A whole answer that is no stream.
+/// A complete answer that is not a stream.
 fn plain(status: u16, why: &str, keep_alive: bool, come_back: Option<Duration>) -> String {
     let reason = match status {
         200 => "OK",
@@ -457,7 +465,7 @@
     client: Arc<Client>,
     inbox: Receiver<Message>,
     sender: Sender<Message>,
-    /// What came while a task was in hand.
+    /// Messages that arrived while a task was in hand.
     waiting: VecDeque<Message>,
 }
 
@@ -492,7 +500,7 @@
                     }
                     false
                 }
-                // Of a task that has had its answer.
+                // Of a task that has already been answered.
                 Message::Begun { .. }
                 | Message::Bounced { .. }
                 | Message::BrokenOff { .. }
@@ -513,15 +521,16 @@
         self.client.write(plain(status, why, keep_alive, come_back).as_bytes()).is_ok() && keep_alive
     }
 
-    /// Whether the connection stays open behind an answer that ends now: not once a stop has begun, however long before
-    /// that the answer did.
+    /// Whether the connection stays open after an answer that ends now: not once a stop has begun, however
+    /// long before that the answer began.
     fn keeps(&self, head: &Head) -> bool {
         head.keep_alive && !self.shared.draining.load(Ordering::Acquire)
     }
 
-    /// Whether a stop has begun, so that the connection ends here. Holds against clients that ask again the moment a
-    /// long answer ends: the platform's kill would cut their answers off. What was read ahead meanwhile is told so; of
-    /// what has come in part the rest is waited for.
+    /// Whether a stop has begun, so that the connection ends here. Without this, clients that send the next
+    /// request the moment a long answer ends would have that one cut off by the platform's kill. A request
+    /// that was read ahead meanwhile is rejected with advice to retry; the rest of a partly received one is
+    /// waited for.
     fn stops(&mut self) -> bool {
         if !self.shared.draining.load(Ordering::Acquire) || self.client.is_part() {
             return false;
@@ -537,13 +546,13 @@
         self.say(503, "stopping: ask again", false, self.shared.advice(Duration::from_millis(200)))
     }
 
-    /// Answers one request; whether the connection goes on.
+    /// Answers one request; returns whether the connection continues.
     fn answer(&mut self, head: &Head, body: Vec<u8>) -> bool {
         let keeps = self.keeps(head);
         match (head.method.as_str(), head.path()) {
             ("POST", call::PATH) => self.call(head, body),
             ("GET", call::READY) => {
-                // A list that was known before does, where the registry is silent for long.
+                // A cached list suffices where the registry is silent for long.
                 let listed = self.shared.listed.load(Ordering::Acquire);
                 let ready = listed || self.shared.start.elapsed() > Duration::from_secs(2);
                 if ready && !self.shared.draining.load(Ordering::Acquire) {
@@ -571,7 +580,8 @@
         }
         shared.in_hand.fetch_add(1, Ordering::SeqCst);
         let in_hand = InHand { shared: &shared, id: call.id.clone() };
-        // Behind the look at its id: of one that is in hand nobody may say that asking again is harmless.
+        // After the check of its id: while a request with this id is open, no answer may say that a retry is
+        // harmless.
         if shared.refuses.load(Ordering::SeqCst) {
             drop(in_hand);
             return self.refuse_stopping();
@@ -590,7 +600,7 @@
         shared.posts.post(Post::Arrive(task.clone()));
         let waited = catch_unwind(AssertUnwindSafe(|| self.wait_for_answer(&task, head)));
         let (answer, keeps) = waited.unwrap_or_else(|_| {
-            // A stream that had begun ends without its last chunk, as does whatever else was under way.
+            // A stream that had begun ends without its last chunk, and so does any other answer in progress.
             tracing::error!(id = task.call.id, "a panic while answering: the task is broken off");
             task.close();
             shared.posts.post(Post::Gone(task.clone()));
@@ -603,7 +613,7 @@
         keeps
     }
 
-    /// The task's one final answer, by name, and whether the connection goes on.
+    /// The one final answer of the task, by its name in the log, and whether the connection continues.
     fn wait_for_answer(&mut self, task: &Arc<Task>, head: &Head) -> (&'static str, bool) {
         loop {
             let Ok(message) = self.inbox.recv() else { return ("client left", false) };
@@ -625,7 +635,8 @@
                     return ("client left", false);
                 }
                 Message::Gone { id } if Some(id) == task.place() => return ("client left", false),
-                // A shot's answer, a bounce or a break-off is on its way; writing it will show that nobody is there.
+                // An answer, a bounce or a break-off is already on its way; writing it will show that the
+                // client is gone.
                 Message::Left { late } => self.waiting.push_back(Message::Left { late }),
                 Message::Begun { .. }
                 | Message::Bounced { .. }
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -8,7 +8,8 @@
     (Client::new(link), there)
 }
 
-/// A request that is read and an end of its connection as idle cross: of the two one holds, whichever came first.
+/// A request that is read crosses the end of its connection as idle: exactly one of the two takes effect,
+/// whichever came first.
 #[test]
 fn of_a_request_and_an_end_that_cross_one_holds() {
     #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +34,7 @@
                 Ends(ended) => assert_eq!(client.end_if_idle(), *ended, "{steps:?}"),
             }
         }
-        // Ended once: nobody waits there any more.
+        // Ended once, the connection is closed.
         assert!(client.left() && client.gone(), "{steps:?}");
     }
 }
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -1,5 +1,5 @@
-//! The ways to hosts. A host that drains or is gone is closed to new shots the moment that is told, before any
-//! decision.
+//! Endpoints of hosts. A host that drains or is removed is closed to new attempts the moment the list says
+//! so, before any decision.
 
 use crate::owner::Post;
 use crate::{Shared, lock};
@@ -19,27 +19,27 @@
 use tulipstall_platform::registry::List;
 use tulipstall_platform::{patience, release};
 
-/// The way to one process of a host.
+/// One process of a host, with its connections.
 pub struct Way {
     pub name: String,
     pub pool: Pool,
     born_ms: u64,
-    /// How old it was when it was first listed; absent: long up.
+    /// Its age when it was first listed; `None` if it has been up for long.
     age: Option<Age>,
-    /// Drains or gone: nothing new is written to it.
+    /// Draining or removed: no new request is written to it.
     closed: AtomicBool,
-    /// Not on the list any more.
+    /// Removed from the list.
     gone: AtomicBool,
-    /// Shots whose request has been written and that have not ended.
+    /// Attempts whose request has been written and that have not ended.
     pub out: AtomicUsize,
     pub zone: u32,
-    /// The last that was wanted of it failed: it may be cut off.
+    /// The last request to it failed: it may be unreachable.
     doubted: AtomicBool,
-    /// Begun answers that stream from it.
+    /// Connections of the answers that stream from it.
     streams: Mutex<Slab<Link>>,
 }
 
-/// A stream on the list of its host's for as long as this lives.
+/// The entry of a stream in the list of its endpoint, removed on drop.
 pub struct Streams<'a>(&'a Way, usize);
 
 impl Drop for Streams<'_> {
@@ -57,14 +57,15 @@
         self.gone.load(Ordering::SeqCst)
     }
 
-    /// A begun answer streams from here from now on.
+    /// Registers the connection of an answer that streams from here.
     pub fn streams(&self, link: &Link) -> Streams<'_> {
         Streams(self, lock(&self.streams).insert(link.clone()))
     }
 
     fn stands(&self, standing: Standing) {
         self.closed.store(standing != Standing::Running, Ordering::Release);
-        // Before its streams' moments are moved: whoever sets one looks at this again behind it.
+        // Before the time limits of its streams are shortened: whoever sets a limit checks this flag again
+        // afterwards.
         self.gone.store(standing == Standing::Gone, Ordering::SeqCst);
         if standing != Standing::Running {
             self.pool.clear();
@@ -79,7 +80,7 @@
         self.pool.address()
     }
 
-    /// It has answered, or did not.
+    /// Records whether it has answered.
     pub fn answers(&self, it_does: bool) {
         self.doubted.store(!it_does, Ordering::Relaxed);
     }
@@ -87,9 +88,9 @@
 
 pub struct Hosts {
     ways: Mutex<BTreeMap<String, Arc<Way>>>,
-    /// Zones by the numbers that they are given as they are first listed.
+    /// Zones, numbered in the order in which they are first listed.
     zones: Mutex<Names>,
-    /// The own one.
+    /// The dispatcher's own zone.
     here: Option<u32>,
     chance: Mutex<Pcg32>,
     idle_for: Duration,
@@ -102,7 +103,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Idle connections to one host: the one used last is taken first, so that more serve a burst only.
+/// Limit of idle connections to one host: the most recently used one is taken first, so that the others serve
+/// only bursts.
 const IDLE: usize = 8;
 
 impl Hosts {
@@ -117,7 +119,7 @@
         WallClock { at_start: self.started, now: unix_time(), since_start }
     }
 
-    /// A part of one, by chance.
+    /// A random number from 0 to 1.
     pub fn chance(&self) -> f64 {
         f64::from(lock(&self.chance).next_u32()) / f64::from(u32::MAX)
     }
@@ -126,7 +128,8 @@
         lock(&self.ways).get(name).cloned()
     }
 
-    /// Whom to ask next to release what is held for a request: by who holds it, and who has been asked.
+    /// The next endpoint to ask for the release of what is held for a request, given the holder and those
+    /// that have been asked.
     pub fn next_asked_to_release(&self, holds: &str, asked: &[Arc<Way>]) -> Option<Arc<Way>> {
         let open: Vec<Arc<Way>> = lock(&self.ways).values().filter(|way| way.open()).cloned().collect();
         let about = |way: &Arc<Way>| release::Server {
@@ -142,25 +145,25 @@
         release::next(&hosts, at, || chance.next_u32()).map(|at| open[at].clone())
     }
 
-    /// Lets go of idle connections that are too old.
+    /// Closes idle connections that are too old.
     pub fn trim(&self) {
         let ways: Vec<Arc<Way>> = lock(&self.ways).values().cloned().collect();
         ways.iter().for_each(|way| way.pool.trim());
     }
 
-    /// Lets go of all idle connections.
+    /// Closes all idle connections.
     pub fn clear(&self) {
         lock(&self.ways).values().for_each(|way| way.pool.clear());
     }
 
-    /// Keeps a connection for later, if there is room.
+    /// Returns a connection to the pool if the socket budget allows it.
     pub fn keep(&self, shared: &Shared, way: &Way, link: Link) {
         if way.open() && shared.room.keeps(tulipstall_net::sockets_held()) {
             way.pool.put(link);
         }
     }
 
-    /// Takes a list, whole or what changed.
+    /// Applies a list, whole or as changes.
     pub fn apply(&self, shared: &Shared, list: &List, whole: bool) {
         let (now, wall) = (shared.now(), self.wall_clock(shared.now()));
         let mut rows = Vec::with_capacity(list.hosts.len());
@@ -189,7 +192,7 @@
                         closed: AtomicBool::new(false),
                         gone: AtomicBool::new(false),
                         out: AtomicUsize::new(0),
-                        // Past the bound of names all share one.
+                        // Beyond the limit of zone names all further zones share one number.
                         zone: zones.enter(&line.site).unwrap_or(u32::MAX),
                         doubted: AtomicBool::new(false),
                         streams: Mutex::default(),
@@ -202,7 +205,7 @@
                 } else {
                     ways.insert(line.host.clone(), way.clone())
                 };
-                // Another process than before: what was written to that one's connections would be lost.
+                // Another process than before: a request written to the old one's connections would be lost.
                 if let Some(before) = before.filter(|before| !Arc::ptr_eq(before, &way)) {
                     before.stands(Standing::Gone);
                 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,7 @@
-//! The dispatcher as the platform runs it: the platform's protocol on sockets. It feeds [`tulipstall_core::Core`] what
-//! happens and carries out what that asks for, like the messages front does; it decides nothing by itself. It listens
-//! on one address, writes no file, and gets its list of hosts from the platform's registry.
+//! The dispatcher as the platform runs it: the platform's protocol on sockets. Reports events to
+//! [`tulipstall_core::Core`] and carries out its outputs, as the messages front end does; it makes no
+//! decision itself. It listens on one address, writes no file, and gets its list of hosts from the platform's
+//! registry.
 
 mod attempt;
 mod front;
@@ -33,7 +34,7 @@
 use tulipstall_platform::room::Room;
 use tulipstall_platform::start::Start;
 
-/// The way to the one owner of the decisions: a queue with so many places, first come first served.
+/// Sends messages to the thread that owns the decisions: a bounded queue, first in, first out.
 #[derive(Clone)]
 struct Posts {
     sender: may::sync::mpsc::Sender<Post>,
@@ -41,7 +42,7 @@
 }
 
 impl Posts {
-    /// Waits for a place in the queue.
+    /// Waits for a free slot in the queue.
     fn post(&self, post: Post) {
         self.room.wait();
         // The owner lives as long as the process.
@@ -59,23 +60,24 @@
     release: Duration,
     /// Stopping: connections end with their answer.
     draining: AtomicBool,
-    /// Stopping, and the time in which what comes is still taken is over.
+    /// Stopping, and the time in which new requests are still accepted is over.
     refuses: AtomicBool,
-    /// Until the listener has been closed and what the system had accepted by then is with the clients.
+    /// Whether connections are still accepted: until the listener has been closed and those that the system
+    /// had accepted by then are on the list of clients.
     accepts: AtomicBool,
-    /// The longest advice that clients take, where they are told when to come back at all.
+    /// The longest advice of when to retry; `None` if clients get no such advice.
     come_back: Option<Duration>,
-    /// Tasks taken whose client has not had its last byte yet.
+    /// Accepted tasks whose client has not received its last byte yet.
     in_hand: AtomicUsize,
-    /// Tasks that the decisions still have, and releases that are owed.
+    /// Tasks that the decisions still track, and releases that are owed.
     unsettled: AtomicUsize,
     releases: metrics::ReleaseCounts,
-    /// Their ids: one that is in hand is no other client's to use.
+    /// Ids of requests: the id of an open request cannot be used by another client.
     ids: Mutex<Ids>,
     clients: front::Clients,
-    /// What became of kept connections that were used again; held for moments only.
+    /// Outcomes of reused pooled connections. Locked only for moments.
     kept: Mutex<Kept>,
-    /// Where the registry is, and the connection to it.
+    /// The registry's address and the connection to it.
     registry: Mutex<(SocketAddr, Option<Link>)>,
     listed: AtomicBool,
 }
@@ -85,26 +87,29 @@
         self.start.elapsed()
     }
 
-    /// When a client that is refused should come back, as far as it may be told.
+    /// When a rejected client should retry, within what it may be told.
     fn advice(&self, after: Duration) -> Option<Duration> {
         self.come_back.map(|most| after.min(most))
     }
 }
 
-/// Locks what is held for moments only; what a panic left is as good as before.
+/// Locks a mutex that is held for moments only. Its data is valid even after a panic, so a poisoned lock is
+/// used as it is.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Bytes of a coroutine's stack, touched only as deep as used: two times a read buffer and what a parser takes.
+/// Bytes of a coroutine's stack, touched only as deep as used: twice a read buffer and the parser's needs.
 const STACK: usize = 128 << 10;
-/// Posts that may wait for the owner: some for each task that there is room for.
+/// Messages that may wait for the owner: several for each task that the limits allow.
 const POSTS: usize = 4096;
 
-/// How long ids of ended requests are kept at most, where settings let clients wait for longer.
+/// Limit for how long ids of ended requests stay reserved, where the configuration lets clients wait for
+/// longer.
 const KEEPS: Duration = Duration::from_secs(60);
 
-/// How long a stopping dispatcher still takes what comes: the platform's front sends new connections for 0.2 to 0.4 s.
+/// How long a stopping dispatcher still accepts connections: the platform's front end sends new ones for 0.2
+/// to 0.4 s.
 const STILL_TAKES: Duration = Duration::from_millis(450);
 
 fn read(path: &Path) -> Result<Start, String> {
@@ -124,15 +129,16 @@
     /// Listens and serves from here on.
     pub fn start(start: &Start) -> Result<Node, String> {
         let told = |error: io::Error| error.to_string();
-        // One worker: the platform gives a part of one core. Once for all of a process.
+        // One worker, as the platform assigns part of one core. Set up once per process.
         static COROUTINES: Once = Once::new();
         COROUTINES.call_once(|| tulipstall_net::set_up(1, STACK));
         let (sender, receiver) = may::sync::mpsc::channel();
         let span = |name: &str, usual: Duration| start.terms.span(name).unwrap_or(usual);
-        // Past half of the time after which hosts close idle connections a request could cross that.
+        // Half of the time after which hosts close idle connections: beyond that a request could cross the
+        // close.
         let idle_for = span("allowed.keepalive_us", Duration::from_secs(10)) / 2;
         let names = Names::new(&start.terms);
-        // What was sent for one may run for as long as its client would have waited.
+        // An attempt of a request may run for as long as its client would have waited.
         let keeps = names.longest().min(KEEPS);
         let shared = Arc::new(Shared {
             names,
@@ -177,23 +183,23 @@
         self.address
     }
 
-    /// The registry is at another address from now on.
+    /// The registry has moved to another address.
     pub fn moved(&self, registry: SocketAddr) {
         registry::moved(&self.shared, registry);
     }
 
-    /// Takes nothing more than what is under way, and returns once all that was taken is answered.
+    /// Stops accepting requests, and returns once all that were accepted are answered.
     pub fn stop(&self) {
         let shared = &self.shared;
         shared.draining.store(true, Ordering::SeqCst);
         tracing::info!(in_hand = shared.in_hand.load(Ordering::SeqCst), "stops");
         thread::sleep(STILL_TAKES);
-        // What is whole only now may not be answered before the platform's kill.
+        // A request that is complete only now might not be answered before the platform kills the process.
         shared.refuses.store(true, Ordering::SeqCst);
         self.listener.finish();
         loop {
             shared.clients.close_idle();
-            // In this order: what is accepted is with the clients before that is told.
+            // In this order: an accepted connection is on the list of clients before `accepting` is cleared.
             let accepts = shared.accepts.load(Ordering::SeqCst);
             let owed = shared.in_hand.load(Ordering::SeqCst) + shared.unsettled.load(Ordering::SeqCst);
             if !accepts && owed == 0 && shared.clients.count() == 0 {
@@ -205,7 +211,7 @@
 }
 
 impl Drop for Node {
-    /// Nobody is served any more, and what is idle gives its descriptors back.
+    /// Stops serving, and closes idle connections to free their descriptors.
     fn drop(&mut self) {
         self.listener.close();
         self.shared.clients.close_idle();
@@ -213,10 +219,10 @@
     }
 }
 
-/// Runs until SIGTERM or SIGINT and until all that was taken is answered; on SIGHUP the configuration is read again,
-/// beside everything else: neither signal waits for the other.
+/// Runs until SIGTERM or SIGINT, and then until all accepted requests are answered. On SIGHUP the
+/// configuration is read again on a thread of its own, so that neither signal waits for the other.
 pub fn run(config: PathBuf) -> Result<(), String> {
-    // Before anything else: by themselves these signals end the process.
+    // First of all: unhandled, these signals end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| error.to_string())?;
     let node = Arc::new(Node::start(&read(&config)?)?);
     let (replaced, replacements) = mpsc::channel();
@@ -233,7 +239,7 @@
     };
     named("owner's end").spawn(buries).map_err(told)?;
     named("signals").spawn(move || pass_on(signals, &replaced, &over)).map_err(told)?;
-    // Whoever passes signals on lives as long as the process.
+    // The thread that forwards signals lives as long as the process.
     ends.recv().unwrap_or(Ok(()))?;
     node.stop();
     tracing::info!("stopped");
@@ -242,16 +248,18 @@
 
 fn pass_on(mut signals: Signals, replaced: &mpsc::Sender<()>, over: &mpsc::Sender<Result<(), String>>) {
     for signal in signals.forever() {
-        // A second one of either kind changes nothing.
+        // A second signal of either kind changes nothing.
         let _ = if signal == SIGHUP { replaced.send(()).is_ok() } else { over.send(Ok(())).is_ok() };
     }
 }
 
-/// For how long a configuration that has been replaced is looked for: as long as the old registry may be gone unheard.
+/// For how long a replaced configuration is retried: as long as the old registry may be unreachable
+/// unnoticed.
 const READS_AGAIN: Duration = Duration::from_millis(3500);
 
-/// Each time that the configuration has been replaced: the registry may be elsewhere. The file may be found half
-/// written, or no descriptor be free; told once more meanwhile, it looks for as long again.
+/// Reads the configuration after each reload request, as the registry may have moved. The file may be half
+/// written, or no descriptor be free: reading is retried, and a further request in the meantime restarts the
+/// time limit.
 fn read_again(node: &Node, config: &Path, replaced: &mpsc::Receiver<()>) {
     while replaced.recv().is_ok() {
         let mut until = Instant::now() + READS_AGAIN;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,30 +1,31 @@
-//! Counts of held states, told in a log line while they change: the platform leaves no room for a metrics listener.
+//! Counts of held states, written to the log while they change: the platform provides no port for a metrics
+//! listener.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// How often the counts are told at most.
+/// Shortest interval between two log lines.
 const REPORT_EVERY: Duration = Duration::from_secs(10);
 
-/// Releases of what servers hold for requests, since the start.
+/// Counts of the releases of what servers hold for requests, since the start.
 #[derive(Default)]
 pub struct ReleaseCounts {
-    /// Owed, whether or not they are done yet.
+    /// Releases owed, done or not.
     pub owed: AtomicU64,
-    /// Of these, owed while an attempt was out that its server had not answered.
+    /// Of these, owed while an attempt was pending that its server had not answered.
     pub unanswered: AtomicU64,
     /// Answered by a server.
     pub done: AtomicU64,
-    /// Of these, later than the stated time allows.
+    /// Of these, later than the release time allows.
     pub late: AtomicU64,
-    /// Given up, as no server answered.
+    /// Abandoned, as no server answered.
     pub abandoned: AtomicU64,
     reported: Mutex<Option<(Instant, [u64; 5])>>,
 }
 
 impl ReleaseCounts {
-    /// Writes the counts to the log if they have changed, every [`REPORT_EVERY`] at most.
+    /// Writes the counts to the log if they have changed, at most once per [`REPORT_EVERY`].
     pub fn report(&self) {
         let counts = [&self.owed, &self.unanswered, &self.done, &self.late, &self.abandoned];
         let counts = counts.map(|count| count.load(Relaxed));
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -1,4 +1,5 @@
-//! The one owner of the decisions: takes what happened in order from a bounded queue, hands out what to do.
+//! The one owner of the decisions: takes events in order from a bounded queue, and carries out the resulting
+//! outputs.
 
 use crate::Shared;
 use crate::attempt::Attempt;
@@ -19,7 +20,7 @@
 pub enum Post {
     Arrive(Arc<Task>),
     Gone(Arc<Task>),
-    /// For the decisions as it stands.
+    /// An input for the decisions, passed on unchanged.
     Told(Input),
 }
 
@@ -48,18 +49,18 @@
     tasks: Vec<Option<InHand>>,
     ways: Vec<Option<Arc<Way>>>,
     out: Vec<Output>,
-    /// When it was last told what is believed.
+    /// When the beliefs were last logged.
     compared: Duration,
 }
 
-/// How often what is believed is told.
+/// Interval between log lines of the beliefs.
 const COMPARE: Duration = Duration::from_secs(1);
 
 impl Owner {
     fn run(&mut self, posts: &Receiver<Post>) {
         loop {
             let now = self.shared.now();
-            // An hour: nothing is timed, so anything will do.
+            // An hour: no timer is set, so any wait will do.
             let wait = self.core.next_timer().map_or(Duration::from_secs(3600), |at| at.saturating_sub(now));
             let post = if wait.is_zero() { posts.try_recv().ok() } else { posts.recv_timeout(wait).ok() };
             if post.is_some() {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Tells what the decisions believe of each host beside what is out on the sockets, where lines of that kind are
-    /// written at all.
+    /// Logs what the decisions believe of each host, next to the attempts that are in flight on its sockets,
+    /// if debug lines are enabled.
     fn compare(&mut self) {
         let now = self.shared.now();
         if now < self.compared + COMPARE || !tracing::enabled!(tracing::Level::DEBUG) {
@@ -120,12 +121,12 @@
         self.tasks.get_mut(id.place as usize)?.as_mut().filter(|held| held.id == id)
     }
 
-    /// The way to a host, by its index.
+    /// The endpoint of a host, by its index.
     fn way(&mut self, host: u32) -> Option<Arc<Way>> {
         let at = host as usize;
         self.ways.resize_with(self.ways.len().max(at + 1), || None);
         let name = self.core.host_name(host);
-        // A host that came back elsewhere has another way, and a place may have a new owner.
+        // A host that returned at another address has another endpoint, and an index may have been reused.
         if self.ways[at].as_ref().is_none_or(|way| !way.open() || Some(way.name.as_str()) != name) {
             self.ways[at] = name.and_then(|name| self.shared.hosts.way(name));
         }
@@ -160,7 +161,7 @@
                     out.cancel();
                 }
             }
-            // A state has its task's id.
+            // A state has the id of its task.
             Output::Release { held, sure, reason } => {
                 let server = self.core.host_name(held.host).unwrap_or_default().to_owned();
                 let release =
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -1,4 +1,5 @@
-//! Follows the registry: the whole list once a connection is up, then what changes, for as long as it answers.
+//! Follows the registry: requests the whole list once a connection is up, then the changes, for as long as it
+//! answers.
 
 use crate::{Shared, lock};
 use std::net::SocketAddr;
@@ -13,23 +14,23 @@
 
 const ANSWER: Limits = Limits { head: 8192, line: 4096, headers: 64, body: LIST_BYTES };
 
-/// What outlives one connection.
+/// State that outlives one connection.
 #[derive(Default)]
 struct Seen {
     /// The last try failed.
     silent: bool,
     versions: Versions,
-    /// The version that the hosts are as of, while it is this registry's.
+    /// The version that the known hosts are as of, if it is one of this registry.
     seq: Option<u64>,
-    /// Calls in a row that were refused, and first calls that were given up.
+    /// Consecutive requests that were rejected, and first requests of a watch that timed out.
     refused: u32,
     unheard: u32,
 }
 
-/// Why a call came to nothing.
+/// Why a request to the registry failed.
 enum Failed {
     Fault(Fault),
-    /// It has too much to do: an answer for whoever comes later.
+    /// It is overloaded: it answers a later request.
     Refused,
 }
 
@@ -39,13 +40,13 @@
     }
 }
 
-/// As of a list that was known before, if any.
+/// Starts following the registry, from the version of a cached list if there is one.
 pub fn start(shared: Arc<Shared>, patience: Patience, known: Option<u64>) {
     spawn(move || {
         let mut known = Seen { seq: known, ..Seen::default() };
         loop {
             let address = lock(&shared.registry).0;
-            // Whatever a list does to whoever reads it, the next one is asked for.
+            // Even if a list makes its processing panic, the next one is requested.
             let followed = AssertUnwindSafe(|| follow(&shared, address, &patience, &mut known));
             let followed = catch_unwind(followed).unwrap_or(Err(Failed::Fault(Fault::Rubbish)));
             let mut pause = patience.pause;
@@ -58,7 +59,7 @@
                     pause = patience.after_refusal(known.refused, shared.hosts.chance());
                     known.refused += 1;
                 }
-                // Many a second while it is away: one line.
+                // There may be many failures a second while the registry is away: only the first is logged.
                 if !std::mem::replace(&mut known.silent, true) {
                     tracing::warn!(registry = %address, why, "the registry does not answer");
                 }
@@ -67,14 +68,14 @@
                 tulipstall_net::sleep(pause);
             }
             if lock(&shared.registry).0 != address {
-                // Another registry counts by itself.
+                // Another registry numbers its versions independently.
                 known = Seen { silent: known.silent, ..Seen::default() };
             }
         }
     });
 }
 
-/// The registry is at another address from now on.
+/// The registry has moved to another address.
 pub fn moved(shared: &Shared, address: SocketAddr) {
     let mut registry = lock(&shared.registry);
     if registry.0 != address
@@ -85,7 +86,7 @@
     registry.0 = address;
 }
 
-/// Asks; an answer that has not begun within so long does not come.
+/// Sends one request. `within` limits the time to the start of the answer, `whole` that of the rest.
 fn ask(link: &mut Option<Link>, question: &str, within: Duration, whole: Duration) -> Result<List, Failed> {
     let (link_now, until) = (link.take().ok_or(Fault::Broken)?, Instant::now() + within);
     link_now.write(question.as_bytes(), until)?;
@@ -108,7 +109,7 @@
     Ok(list)
 }
 
-/// Until something fails or the registry is elsewhere.
+/// Follows the registry until a request fails or the registry has moved.
 fn follow(shared: &Shared, address: SocketAddr, patience: &Patience, known: &mut Seen) -> Result<(), Failed> {
     let mut link = None;
     let mut seen = None;
@@ -123,7 +124,7 @@
             registry.1 = Some(new.clone());
             link = Some(new);
         }
-        // A failure leads to the whole list, but where that is dear to what has changed.
+        // After a failure the whole list is requested, or only the changes where the whole list is expensive.
         let resumes = patience.resumes.zip(known.seq).map(|(wait, seq)| (seq, wait));
         let at_once = first.saturating_duration_since(Instant::now());
         let (newer_than, within) = match seen {
@@ -139,7 +140,8 @@
                 return Err(failed);
             }
         };
-        // What changed since a version says nothing to any other: the whole list is asked for next, unless this goes well.
+        // Changes since one version do not apply to any other: the whole list is requested next, unless this
+        // one is applied.
         let as_of = newer_than.map(|(seq, _)| seq);
         known.seq = None;
         if !known.versions.takes(shared.now(), list.seq) {
@@ -150,14 +152,14 @@
             return Err(Fault::Rubbish.into());
         }
         if as_of.is_some_and(|as_of| list.seq < as_of) && !list.whole {
-            // Begun anew: what changed since says nothing to what was before.
+            // The registry has restarted: changes since then do not apply to the list from before.
             return Err(Fault::Rubbish.into());
         }
         if std::mem::take(&mut known.silent) {
             tracing::info!(registry = %address, "the registry answers again");
         }
         let whole = list.whole || as_of.is_none();
-        // Nothing new: the wait was over.
+        // An empty change list means that nothing changed within the wait.
         if whole || !list.hosts.is_empty() {
             shared.hosts.apply(shared, &list, whole);
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,5 +1,5 @@
-//! A begun stream on its way from its host to its client, in the client's coroutine: a client that does not read
-//! holds its own host back and nobody else's.
+//! Relays a begun stream from its host to its client, in the client's coroutine: a client that does not read
+//! slows down its own host and no other.
 
 use crate::Shared;
 use crate::attempt::{Begun, give_back};
@@ -14,7 +14,8 @@
 const HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Passes a stream on; whether it came whole and the client's connection is good for more.
+/// Relays a stream; returns the name of the result, and whether the stream was complete and the client's
+/// connection can be used again.
 pub fn relay(shared: &Shared, client: &Client, mut begun: Begun) -> (&'static str, bool) {
     let mut out = Vec::with_capacity(begun.bytes.len() + 256);
     out.extend_from_slice(HEAD);
@@ -29,7 +30,7 @@
             out.extend_from_slice(LAST_CHUNK);
         }
         if !out.is_empty() && client.write(&out).is_err() {
-            // The host did nothing wrong.
+            // The host is not at fault.
             break (Outcome::Cancelled, "client left");
         }
         if begun.ended {
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -15,26 +15,27 @@
 pub struct Held {
     /// The request's id.
     pub id: String,
-    /// The server that holds it, or may.
+    /// The server that holds it, or may hold it.
     pub server: String,
-    /// Its reader told of it; else it may be there, and may come yet.
+    /// Its reader has confirmed it; otherwise it may exist, or may be created later.
     pub sure: bool,
 }
 
-/// One release that is owed. Counted until it is dropped, so that nothing stops before it is done.
+/// One release that is owed. Counted until it is dropped, so that the process does not stop before it is
+/// done.
 pub struct Release {
     shared: Arc<Shared>,
     held: Arc<Held>,
     reason: ReleaseReason,
 }
 
-/// What has become of the calls of one release.
+/// The results of the calls of one release.
 struct Calls {
     is_answered: AtomicBool,
     last_fault: Mutex<Fault>,
 }
 
-/// How often the calls of a wave are looked at: a tenth of a wave at the usual second.
+/// How often the results of a wave are polled: a tenth of a wave at the usual release time of one second.
 const LOOKS: Duration = Duration::from_millis(5);
 
 impl Release {
@@ -52,7 +53,8 @@
         let from = Instant::now();
         self.ask_in_waves();
         if !self.held.sure {
-            // The read may have ended well after that, where its server could not see that nobody waits any more.
+            // The read may have ended well after the first release, where its server could not notice that
+            // nobody waits any more.
             tulipstall_net::sleep(release::once_more(self.shared.release).saturating_sub(from.elapsed()));
             self.ask_in_waves();
         }
@@ -82,7 +84,7 @@
         tracing::warn!(id, server, calls_sent, ms, ?why, "a held state could not be released");
     }
 
-    /// Sends one wave of calls. Where descriptors run short it has one call, and nobody on the list may mean none.
+    /// Sends one wave of calls: a single call if descriptors are short, and none if no server is listed.
     fn send(&self, wave: Wave, number: u32, asked: &mut Vec<Arc<Way>>, calls: &Arc<Calls>) {
         let shared = &self.shared;
         for call in 0..wave.calls {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Whether any call is answered by then; waits no longer than that takes.
+    /// Waits until any call is answered, at most for `span`; returns whether one was.
     fn is_answered_within(&self, span: Duration) -> bool {
         let until = Instant::now() + span;
         loop {
@@ -148,12 +150,13 @@
     }
 }
 
-/// One call to one server, over a new connection if wanted. Only an answer shows that it has arrived.
+/// Sends one call to one server, over a new connection if requested. Only an answer shows that the call has
+/// arrived.
 fn ask(shared: &Shared, way: &Way, id: &str, new: bool) -> Result<(), Fault> {
     let within = release::within(shared.release);
     let until = Instant::now() + within;
     let link = if new { shared.new_link(way, within)? } else { shared.link(way, within)?.0 };
-    // Told to drain or gone meanwhile.
+    // Drained or removed meanwhile.
     if !way.open() {
         return Err(Fault::NoConnection);
     }
--- a/crates/node/src/task.rs
+++ b/crates/node/src/task.rs
@@ -1,4 +1,5 @@
-//! A task and its shots as the coroutines share them: who may answer the client is settled by one exchange.
+//! A task and its attempts (shots) as shared between coroutines: one atomic exchange settles which of them
+//! answers the client.
 
 use crate::front::{Client, Message};
 use crate::lock;
@@ -10,21 +11,21 @@
 use tulipstall_net::Link;
 use tulipstall_platform::host::Passed;
 
-/// Nobody has answered yet.
+/// Not answered yet.
 const OPEN: u32 = 0;
-/// The owner has: bounced or broken off, or the client has left.
+/// Answered by the owner, by a bounce or a break-off, or the client has disconnected.
 const CLOSED: u32 = 1;
-/// From here on: the shot whose answer the client gets.
+/// Values from here on name the shot whose answer the client gets.
 const SHOT: u32 = 2;
 
 pub struct Task {
-    /// What is passed on to hosts as it came.
+    /// Forwarded unchanged to hosts.
     pub call: Passed,
-    /// Until an answer has begun.
+    /// The request's body, until an answer has begun.
     body: Mutex<Option<Arc<Vec<u8>>>>,
     pub ask: Ask,
     pub arrived: Instant,
-    /// Not held: its connection ends when its coroutines do, whatever is still out.
+    /// A weak reference: the connection ends with its coroutines, whatever attempts are still pending.
     client: Weak<Client>,
     pub inbox: Sender<Message>,
     place: AtomicU64,
@@ -47,7 +48,7 @@
         self.place.store(u64::from(id.place) << 32 | u64::from(id.turn), Ordering::Release);
     }
 
-    /// Its place with the decisions, once it has one.
+    /// Its id in the core, once it has one.
     pub fn place(&self) -> Option<TaskId> {
         let place = self.place.load(Ordering::Acquire);
         (place != u64::MAX).then_some(TaskId { place: (place >> 32) as u32, turn: place as u32 })
@@ -57,13 +58,13 @@
         self.answer.compare_exchange(OPEN, answer, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// The final answer is not a shot's; false if a shot's answer has begun.
+    /// Settles the task with an answer that is not a shot's; false if a shot's answer has begun.
     pub fn close(&self) -> bool {
         self.settle(CLOSED)
     }
 
-    /// This shot's answer is the client's; false if there is another answer. No host is asked any more then, and a
-    /// stream outlasts its prompt by far.
+    /// Settles the task with this shot's answer; false if it already has another one. The body is freed: no
+    /// further host is asked, and a stream lasts far longer than the prompt is needed.
     pub fn take(&self, shot: u32) -> bool {
         let taken = self.settle(SHOT + shot);
         if taken {
@@ -72,7 +73,7 @@
         taken
     }
 
-    /// Whether its client has left, as its connection tells.
+    /// Whether the client has disconnected, according to its connection.
     pub fn client_is_gone(&self) -> bool {
         self.client.upgrade().is_none_or(|client| client.gone())
     }
@@ -86,7 +87,7 @@
 const BEGUN: u8 = 1;
 const CANCELLED: u8 = 2;
 
-/// A shot that is out.
+/// A shot that has been sent, as its attempt and the owner share it.
 #[derive(Default)]
 pub struct Out {
     state: AtomicU8,
@@ -98,7 +99,7 @@
         self.state.compare_exchange(PENDING, state, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// Calls it off, unless its answer has begun.
+    /// Cancels the shot unless its answer has begun.
     pub fn cancel(&self) {
         if self.settle(CANCELLED)
             && let Some(link) = &*lock(&self.link)
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Its answer begins; false if it was called off before.
+    /// Marks its answer as begun; false if it was cancelled before.
     pub fn begin(&self) -> bool {
         self.settle(BEGUN)
     }
@@ -116,7 +117,7 @@
         self.state.load(Ordering::Acquire) == CANCELLED
     }
 
-    /// The connection that it goes over, or none any more.
+    /// Sets the connection that the shot uses, or `None` once it has ended.
     pub fn hold(&self, link: Option<&Link>) {
         *lock(&self.link) = link.cloned();
     }
--- a/crates/node/src/task/tests.rs
+++ b/crates/node/src/task/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use may::sync::mpsc::channel;
 
-/// Of two that cross, one holds; a prompt is held for as long as hosts may be asked.
+/// Of two conflicting claims exactly one takes effect; the body is held for as long as hosts may be asked.
 #[test]
 fn one_of_two_that_cross_holds() {
     type Claim = fn(&Task) -> bool;
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,5 +1,5 @@
-//! Clients' calls: a request's head and body as a task, or why it is none. Whatever two parties could understand
-//! differently is refused here, as a host must never be asked for what no client has asked.
+//! Parses clients' requests: head and body become a task or a rejection. Anything that two parties could
+//! interpret differently is rejected here, as a host must never receive a request that no client has made.
 
 use serde::Deserialize;
 use serde::de::IgnoredAny;
@@ -14,7 +14,8 @@
 
 pub const ID: &str = "x-txn";
 pub const LEFT: &str = "x-remaining-ms";
-/// By which hosts know repeats of a request of a keyed class (draft-ietf-httpapi-idempotency-key-header).
+/// By this key hosts recognise repeats of a request of a keyed class (draft-ietf-httpapi-idempotency-key-
+/// header).
 pub const KEY: &str = "idempotency-key";
 const OFFERING: &str = "x-lane";
 const CUSTOMER: &str = "x-org";
@@ -23,16 +24,16 @@
 const RESENT: &str = "x-resent";
 const HINT: &str = "x-estimate";
 
-/// The platform's bound on a body.
+/// The platform's limit for a body.
 pub const BODY: usize = 256 << 10;
-/// Ids go into paths and logs; the platform's have 16 characters.
+/// Ids appear in paths and logs; those of the platform have 16 characters.
 const ID_BYTES: usize = 64;
-/// Names of sessions and shared texts, which are kept.
+/// Limit for names of sessions and shared texts, which are stored.
 const NAME_BYTES: usize = 128;
-/// Digits of a number that is a time or a length.
+/// Limit for the digits of a time or a length.
 const DIGITS: usize = 12;
 
-/// Why a request is no task: a status and a line for whoever sent it.
+/// Why a request is rejected: the status and the text of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     pub status: u16,
@@ -43,7 +44,7 @@
     Err(Refused { status: 400, why })
 }
 
-/// What is offered and to whom, in the order of the terms.
+/// The offerings and customers, in the order of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     offerings: Vec<(String, Duration)>,
@@ -65,7 +66,7 @@
 }
 
 impl Names {
-    /// The longest that any request may wait.
+    /// The longest time for which any request may wait.
     pub fn longest(&self) -> Duration {
         self.offerings.iter().map(|(_, stop)| *stop).max().unwrap_or_default()
     }
@@ -74,22 +75,22 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     pub id: String,
-    /// Passed on with every attempt as it came.
+    /// Forwarded unchanged with every attempt.
     pub key: Option<String>,
     pub ask: Ask,
 }
 
-/// What every body has. The hosts read the rest.
+/// The part of the body that is checked here. The hosts read the rest.
 #[derive(Deserialize)]
 struct Body {
     messages: Vec<IgnoredAny>,
 }
 
-/// A header that may stand once.
+/// The value of a header that may occur at most once.
 fn one<'a>(head: &'a Head, name: &str) -> Result<Option<&'a str>, Refused> {
     let mut values = head.headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
-    // Names may be of any script; the line itself was read as bytes.
+    // Names may be in any script: the header's bytes are decoded as UTF-8.
     match (std::str::from_utf8(value.as_bytes()), values.next()) {
         (Ok(text), None) => Ok(Some(text.trim())),
         _ => bad("a header can't be read, or stands twice"),
@@ -146,7 +147,7 @@
         };
         *length = number(value.trim()).ok_or(Refused { status: 400, why: "a label is no number" })?;
     }
-    // A body of a byte a token is the most that can come.
+    // A token takes at least one byte, so that no prompt has more tokens than the largest body has bytes.
     let tokens = |length: u64| length.min(BODY as u64) as u32;
     let stop = names.offerings[offering].1;
     let hint = one(head, HINT)?.and_then(number).filter(|us| *us > 0).map(Duration::from_micros);
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -1,4 +1,4 @@
-//! What hosts are asked and what they answer.
+//! Requests to hosts and the parsing of their answers.
 
 use crate::call::{ID, KEY, LEFT};
 use serde::Deserialize;
@@ -9,13 +9,13 @@
 
 const NOT_RUN: &str = "x-turned-away";
 
-/// A host's answer: a head of some lines; a stream is a body, which the platform bounds.
+/// Limits of a host's answer: a head of some lines; a stream is a body, whose size the platform limits.
 pub const ANSWER: Limits = Limits { head: 8192, line: 4096, headers: 64, body: 256 << 10 };
 
-/// An event of a stream: some tokens' text, or the figures.
+/// Limit for one event of a stream: the text of some tokens, or the usage figures.
 const EVENT: usize = 16 << 10;
 
-/// A client's call as it is passed on to hosts.
+/// A client's request as it is forwarded to hosts.
 #[derive(Clone, Debug, Default)]
 pub struct Passed {
     pub target: String,
@@ -24,7 +24,7 @@
     pub key: Option<String>,
 }
 
-/// The same call to a host, with the time that it is waited for.
+/// The request to a host, with the time for which its answer is awaited.
 pub fn request(call: &Passed, left: Duration, body: &[u8]) -> Vec<u8> {
     let Passed { target, host, id, key } = call;
     let mut head = String::with_capacity(256);
@@ -45,17 +45,17 @@
     request
 }
 
-/// Lets go of all that any host holds for a task.
+/// The request that releases everything any host holds for a task.
 pub fn release(host: &str, id: &str) -> String {
     format!("DELETE /internal/reservations/{id} HTTP/1.1\r\nHost: {host}\r\n\r\n")
 }
 
-/// What an answer's head says.
+/// What the head of an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Says {
     /// A stream follows.
     Streams,
-    /// The prompt has been read; the body tells what was found kept.
+    /// The prompt has been read; the body gives the number of cached tokens.
     Read,
     Ended(Outcome),
 }
@@ -67,7 +67,7 @@
         202 => Says::Read,
         410 if not_run => Says::Ended(Outcome::NoState),
         503 if not_run => Says::Ended(Outcome::Full),
-        // Its time was over when it came: that says nothing of the host.
+        // The task's time was over when the request arrived: this says nothing about the host.
         504 if not_run => Says::Ended(Outcome::Moot),
         _ => Says::Ended(Outcome::Error),
     }
@@ -79,26 +79,26 @@
     cached_tokens: u32,
 }
 
-/// Prompt tokens that a reader found kept.
+/// Prompt tokens that a reader found in its cache.
 pub fn kept(body: &[u8]) -> Option<u32> {
     serde_json::from_slice::<Kept>(body).ok().map(|kept| kept.cached_tokens)
 }
 
-/// What could not be an event.
+/// Input that cannot be an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spoilt;
 
-/// A stream's bytes as whole events, unchanged: what is no event is never passed on.
+/// Splits the bytes of a stream into whole events, unchanged; nothing else is passed on.
 #[derive(Default)]
 pub struct Events {
     part: Vec<u8>,
     pub any: bool,
-    /// The mark of the end has come.
+    /// The end marker has been received.
     pub done: bool,
 }
 
 impl Events {
-    /// Takes bytes and appends the whole events of them.
+    /// Consumes bytes and appends the events that are complete to `out`.
     pub fn take(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<(), Spoilt> {
         self.part.extend_from_slice(bytes);
         let mut from = 0;
@@ -117,7 +117,7 @@
         if self.part.len() > EVENT || !begins { Err(Spoilt) } else { Ok(()) }
     }
 
-    /// Whether a stream that has ended is whole.
+    /// Whether a stream that has ended is complete.
     pub fn whole(&self) -> bool {
         self.done && self.part.is_empty()
     }
--- a/crates/platform/src/ids.rs
+++ b/crates/platform/src/ids.rs
@@ -1,10 +1,10 @@
-//! Ids of requests: one that was taken is no other request's, also once it has been answered: what was sent for it may still
-//! run, and its own client never uses it again.
+//! Ids of requests in use. An id stays reserved for some time after its request has been answered: an attempt
+//! sent for it may still be running, and its own client never uses the id again.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
-/// Ended ones that are kept, far above what a dispatcher ends in the time that they are kept for.
+/// Limit for ids of ended requests, far above what a dispatcher completes within the retention time.
 const MOST: usize = 8192;
 
 pub struct Ids {
@@ -14,12 +14,12 @@
 }
 
 impl Ids {
-    /// Ended ones are kept for so long.
+    /// Ids of ended requests stay reserved for `retention`.
     pub fn new(keeps: Duration) -> Self {
         Ids { taken: HashSet::new(), ended: VecDeque::new(), keeps }
     }
 
-    /// Whether a request may have this id; it has it from now on.
+    /// Reserves an id; false if it is already reserved.
     pub fn take(&mut self, now: Duration, id: &str) -> bool {
         while self.ended.len() > MOST || self.ended.front().is_some_and(|(at, _)| *at + self.keeps <= now) {
             if let Some((_, id)) = self.ended.pop_front() {
@@ -29,7 +29,7 @@
         !self.taken.contains(id) && self.taken.insert(id.to_owned())
     }
 
-    /// Its request has had its answer, or its client has left.
+    /// Its request has been answered, or its client has disconnected: the retention time begins.
     pub fn ends(&mut self, now: Duration, id: String) {
         self.ended.push_back((now, id));
     }
--- a/crates/platform/src/ids/tests.rs
+++ b/crates/platform/src/ids/tests.rs
@@ -4,7 +4,7 @@
 fn an_id_is_one_requests_until_nothing_of_it_can_run() {
     let s = Duration::from_secs;
     let mut ids = Ids::new(s(10));
-    // When; the id; whether it ends then, else whether a request may have it.
+    // Time, id, and the expected result of reserving it; `None` ends its request.
     for (at, id, taken) in [
         (0, "a", Some(true)),
         (1, "a", Some(false)),
@@ -21,7 +21,7 @@
             None => ids.ends(s(at), id.to_owned()),
         }
     }
-    // However many end, memory is bounded.
+    // Memory is bounded, however many requests end.
     for i in 0..3 * MOST {
         let id = format!("id{i}");
         assert!(ids.take(s(70), &id));
--- a/crates/platform/src/kept.rs
+++ b/crates/platform/src/kept.rs
@@ -1,23 +1,24 @@
-//! Whether a connection that was kept may be written to. Hosts, and what stands between, drop idle connections without a
-//! word: a request that is written to one is lost, and a new connection costs a few round trips. How long is too long
-//! is learnt from what became of those used before.
+//! Whether a pooled connection may be used again. Hosts, and devices between, drop idle connections without
+//! notice: a request that is written to one is lost, while a new connection costs a few round trips. The idle
+//! time that is too long is learnt from the outcome of earlier uses.
 
 use std::time::Duration;
 
-/// Spans of idleness: under 1 ms, and by doubling up to a minute.
+/// Buckets of idle time: below 1 ms, then doubling up to about a minute.
 const SPANS: usize = 17;
 
-/// Seconds in which what was learnt fades by a factor of e: some hundred tasks, so that a change shows soon.
+/// Time constant of the exponential decay in seconds: some hundred tasks, so that a change has effect soon.
 const FADES: f64 = 20.0;
 
-/// A lost request costs some ten times what a new connection does: over a tenth lost, and new ones are cheaper.
+/// A lost request costs about ten times as much as a new connection: above a loss of one in ten, new
+/// connections are cheaper.
 const LOST: f64 = 0.1;
 
-/// As if so many requests had come through: one lost among few doesn't condemn.
+/// Counts as this many successful uses, so that one loss among few uses does not rule a bucket out.
 const GRACE: f64 = 4.0;
 
-/// A reset this soon after the last byte, with nothing answered, is the connection's; a host that dies takes longer on
-/// average to be noticed, and takes its new connections along.
+/// A reset within this time after the last byte, with nothing answered, means that the connection was stale.
+/// A host that dies takes longer on average to be noticed, and its new connections fail as well.
 const SOON: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, Default)]
@@ -44,14 +45,14 @@
         Span { used: was.used * left, lost: was.lost * left, at: now }
     }
 
-    /// Whether one that was idle for so long is worth writing to. Of spans that tell nothing of late the shorter one
-    /// tells: idleness does a connection no good.
+    /// Whether a connection that was idle for this long is worth using. Where a bucket has no recent uses the
+    /// next shorter one decides: a longer idle time does not make a connection safer.
     pub fn trusts(&self, now: Duration, idle: Duration) -> bool {
         let mut told = (0..=span(idle)).rev().map(|at| self.now(at, now));
         told.find(|span| span.used >= 0.5).is_none_or(|span| span.lost <= LOST * (span.used + GRACE))
     }
 
-    /// One that was idle for so long has been used; whether it was lost by that.
+    /// Records the use of a connection that was idle for this long, and whether the request was lost.
     pub fn used(&mut self, now: Duration, idle: Duration, lost: bool) {
         let at = span(idle);
         let mut span = self.now(at, now);
@@ -60,8 +61,8 @@
         self.spans[at] = span;
     }
 
-    /// Whether a connection that broke so long after a request was written to it, with nothing answered, had been lost
-    /// before: says nothing of its host.
+    /// Whether a connection that broke this long after a request was written to it, with nothing answered,
+    /// was already dead: then its host is not at fault.
     pub fn was_lost(after: Duration) -> bool {
         after < SOON
     }
--- a/crates/platform/src/kept/tests.rs
+++ b/crates/platform/src/kept/tests.rs
@@ -4,10 +4,11 @@
     Duration::from_millis(ms)
 }
 
-/// What is lost by its idleness is written to no more, other spans are, and after a while it is tried again.
+/// An idle time at which requests were lost is avoided, others are not, and after a while it is tried again.
 #[test]
 fn idle_connections_are_trusted_by_what_became_of_others() {
-    // Idle for, used, every how many-th lost; whether it is trusted right after, and a minute later.
+    // Idle time in ms, number of uses, every how many-th is lost; whether it is used right after, and a
+    // minute later.
     for (idle, used, every, trusted, later) in [
         (300, 40, 2, false, true),
         (300, 40, 5, false, true),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,6 @@
-//! The platform's protocol as codecs: what is told at start, the registry's lists, clients' calls and hosts' answers.
-//! No socket, no clock, no chance; every step is bounded.
+//! The platform's protocol as codecs: the start configuration, the registry's host lists, clients' requests
+//! and hosts' answers. Performs no I/O, reads no clock and draws no random numbers; every operation is
+//! bounded.
 
 pub mod age;
 pub mod call;
--- a/crates/platform/src/patience/tests.rs
+++ b/crates/platform/src/patience/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The platform's bounds: 5 s of silence, a second for an end that has come.
+/// The platform's limits: 5 s of silence, and one second for the end of a stream.
 #[test]
 fn no_client_is_left_waiting() {
     for gone in [false, true] {
--- a/crates/platform/src/registry.rs
+++ b/crates/platform/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry's list of hosts, whole or what changed of it.
+//! The registry's host lists, whole or as changes, and the timing of requests to it.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -6,48 +6,52 @@
 use tulipstall::interface::{Standing, Terms};
 use tulipstall_core::Row;
 
-/// Where the list is asked for.
+/// Path of the list.
 pub const PATH: &str = "/registry/instances";
 
-/// A list of a few thousand hosts fits many times over.
+/// Size limit of a list: many times that of a few thousand hosts.
 pub const LIST_BYTES: usize = 4 << 20;
 
-/// How long the registry is waited for before it is taken for silent and asked anew.
+/// Time limits for requests to the registry, after which it is taken to be silent and asked again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Patience {
-    /// How long it may wait for news.
+    /// How long the registry may hold a watch request open until there is a change.
     pub wait: Duration,
     /// How much later than that its answer may begin.
     pub late: Duration,
-    /// When the answer to a question that need not wait has to begin, the time to connect included.
+    /// Limit for the start of an answer to a request without a wait, the time to connect included.
     pub at_once: Duration,
-    /// How long an answer that has begun may take to come whole: agents write it at once.
+    /// Limit for the rest of an answer that has begun: agents write it at once.
     pub whole: Duration,
-    /// Between two tries: inside the 200 ms that a watch may pause.
+    /// Pause between two tries: within the 200 ms for which a watch may be interrupted.
     pub pause: Duration,
-    /// How long such a pause grows at most while the registry refuses calls.
+    /// Limit to which that pause grows while the registry rejects requests.
     pub refused: Duration,
-    /// For how long the first call of a new watch waits, where it is one from what is known already: what is newer comes at
-    /// once, the calls that follow go on with the watch, and the registry is asked once for all of it.
+    /// Wait of the first request of a new watch that resumes from a known version, if it does: newer changes
+    /// are returned at once, the requests that follow continue the watch, and the registry serves one request
+    /// instead of two.
     pub resumes: Option<Duration>,
 }
 
-/// How long what is newer than the last good answer may go unheard while the registry can be reached: the platform
-/// counts it as told then.
+/// How long a change after the last good answer may stay unread while the registry can be reached: after that
+/// the platform counts the dispatcher as informed of it.
 pub const TOLD: Duration = Duration::from_secs(6);
 
-/// For how long answers older than one seen before are not taken: they come from a registry that lags behind, or from
-/// one that has begun anew, and only the second goes on so. Fits beside a watch and two questions.
+/// For how long answers with an older version than one seen before are ignored: they come from a registry
+/// replica that lags behind, or from a registry that has restarted, and only the second continues to send
+/// them. Leaves time for one watch and two further requests.
 pub const OLDER: Duration = Duration::from_millis(800);
 
 impl Patience {
-    /// Where lists are pushed, an agent on the own machine answers at once and at no cost, or is silent until the
-    /// registry is back; what it has then counts as told at once. So it is asked anew well inside the time in which a
-    /// draining host may still be sent to. Where lists are asked for, each call is dear and may take long.
+    /// In push mode an agent on the same machine answers at once and at no cost, or is silent until the
+    /// registry is back; what it then has counts as known to the dispatcher at once. So it is asked again
+    /// well within the time for which a draining host may still be used. In on-request mode each request is
+    /// expensive and may take long.
     pub fn told(terms: &Terms) -> Patience {
         let ms = Duration::from_millis;
         if terms.text("registry_mode") == Some("on_request") {
-            // A watch that falls silent at once and a new one that does leave time for a third, which tells news at once.
+            // A watch that falls silent at once and a silent successor leave time for a third request, which
+            // returns the changes at once.
             return Patience {
                 wait: ms(1900),
                 late: ms(700),
@@ -58,7 +62,8 @@
                 resumes: Some(ms(1000)),
             };
         }
-        // Two fifths and a fifth: the rest is for a busy dispatcher to read the list. No less than round trips take.
+        // Two fifths and one fifth of the grace: the rest is for a busy dispatcher to process the list. The
+        // lower bounds are the time of round trips.
         let grace = terms.span("rules.drain_grace_us").unwrap_or(ms(250));
         let at_once = (grace * 2 / 5).clamp(ms(20), ms(400));
         let pause = (grace / 5).clamp(ms(10), ms(100));
@@ -66,29 +71,30 @@
         Patience { wait, late, at_once, whole, pause, refused: pause, resumes: None }
     }
 
-    /// When the answer to a question has to begin after so many in a row that were given up: a registry with much to do
-    /// takes longer, and each question given up is more to do.
+    /// Limit for the start of an answer after this many consecutive time-outs: a busy registry takes longer,
+    /// and each abandoned request adds to its load.
     pub fn after_silence(&self, times: u32) -> Duration {
         (self.at_once * 2_u32.saturating_pow(times.min(8))).min(self.at_once.max(self.refused / 2))
     }
 
-    /// How long to wait after so many calls in a row that were refused: twice as long each time, and by chance, as all who
-    /// were refused at once would else come at once again, and hundreds that press keep a registry refusing.
+    /// Pause after this many consecutive rejections: doubles each time and is randomised. Otherwise all
+    /// dispatchers that were rejected at once would return at once, and hundreds that retry often keep a
+    /// registry overloaded.
     pub fn after_refusal(&self, times: u32, chance: f64) -> Duration {
         (self.pause * 2_u32.saturating_pow(times.min(8) + 2)).min(self.refused).mul_f64(0.5 + chance)
     }
 }
 
-/// What is known of the registry's versions.
+/// Tracks the versions of lists received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Versions {
     newest: u64,
-    /// Since when only older ones came.
+    /// Since when only older versions have been received.
     older_since: Option<Duration>,
 }
 
 impl Versions {
-    /// Whether an answer of this version is taken now.
+    /// Whether an answer of this version is accepted now.
     pub fn takes(&mut self, now: Duration, seq: u64) -> bool {
         let since = *self.older_since.get_or_insert(now);
         let taken = seq >= self.newest || now >= since + OLDER;
@@ -121,7 +127,7 @@
     pub health: Health,
     #[serde(default = "one")]
     pub share: f64,
-    /// Unix time of its process's start in milliseconds; 0: long ago.
+    /// Unix time of its process's start in milliseconds; 0 means long ago.
     #[serde(default)]
     pub born_ms: u64,
 }
@@ -142,12 +148,12 @@
     List::deserialize(value).map_err(|fault| format!("the list of hosts: {fault}"))
 }
 
-/// Reads a list; one that can't be read whole is not taken in part.
+/// Parses a list; one that is malformed in part is rejected as a whole.
 pub fn read(bytes: &[u8]) -> Result<List, String> {
     serde_json::from_slice(bytes).map_err(|fault| format!("the list of hosts: {fault}"))
 }
 
-/// The question for the whole list, or to be told what is newer than a version within some time.
+/// The request for the whole list, or for changes after a version within a wait.
 pub fn question(host: SocketAddr, newer_than: Option<(u64, Duration)>) -> String {
     let query =
         newer_than.map_or(String::new(), |(seq, wait)| format!("?index={seq}&wait={}", wait.as_millis()));
@@ -163,12 +169,12 @@
         }
     }
 
-    /// When its process began, in Unix time; absent: long ago.
+    /// Unix time of its process's start; `None` means long ago.
     pub fn born(&self) -> Option<Duration> {
         (self.born_ms > 0).then(|| Duration::from_millis(self.born_ms))
     }
 
-    /// As the core takes it, with the age of its process; absent: a long time.
+    /// The row for the core, with the age of its process; `None` means long ago.
     pub fn row(&self, up_for: Option<Duration>) -> Row {
         Row {
             host: self.host.clone(),
--- a/crates/platform/src/registry/tests.rs
+++ b/crates/platform/src/registry/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use tulipstall::interface::Term;
 
-/// What is asked just before the registry is back goes unanswered: the next try comes inside the grace.
+/// A request sent just before the registry is back stays unanswered: the next try has to come within the
+/// grace.
 #[test]
 fn a_silent_agent_is_asked_anew_inside_the_grace_and_a_dear_registry_is_not_pressed() {
     for (mode, grace_us, pressed) in [
@@ -19,14 +20,14 @@
         let grace = Duration::from_micros(grace_us.unwrap_or(250_000.0) as u64);
         assert_eq!((told.at_once + told.pause) * 10 <= grace * 7, pressed, "{mode:?} {grace_us:?}: {told:?}");
         assert!(told.at_once >= Duration::from_millis(20) && !told.pause.is_zero());
-        // What an open watch misses counts 6 s after it fell silent, or 2 s after its wait.
+        // What an open watch misses counts as known 6 s after it fell silent, or 2 s after its wait.
         assert!(told.pause < Duration::from_millis(200) && told.late < Duration::from_secs(2));
         assert!(told.wait + told.late + told.pause < Duration::from_secs(7));
     }
 }
 
-/// From a good answer on, whatever goes wrong once with each of a watch, its successor and the question after it:
-/// the list is refreshed before what is newer counts as told, with the grace to spare.
+/// After a good answer, whatever goes wrong once with each of a watch, its successor and the request after
+/// it: the list is refreshed before a newer change counts as known, with the grace to spare.
 #[test]
 fn no_chain_of_calls_outlasts_what_counts_as_told() {
     let ms = Duration::from_millis;
@@ -38,7 +39,8 @@
         terms.0.insert("rules.drain_grace_us".into(), Term::Number(grace_us));
         let told = Patience::told(&terms);
         let question = told.pause + told.at_once;
-        // A new watch that says nothing; what is news to it comes like an answer to a question.
+        // A new watch that is not answered; changes to it are returned like the answer to a request without a
+        // wait.
         let unheard = question + told.resumes.unwrap_or_default();
         let silent = told.wait + told.late;
         for (name, chain) in [
@@ -48,7 +50,8 @@
         ] {
             assert!(chain < TOLD - ms(250), "{mode} {grace_us}: {name}: {chain:?}");
         }
-        // While nothing happens 350 dispatchers ask less than 200 times a second where calls are dear, else 400.
+        // While nothing changes, 350 dispatchers send fewer than 200 requests a second where requests are
+        // expensive, otherwise 400.
         let most = if mode == "on_request" { 200.0 } else { 400.0 };
         assert!(350.0 / told.wait.as_secs_f64() < most, "{mode}");
     }
@@ -72,8 +75,8 @@
     }
 }
 
-/// Where calls are dear whoever is refused or not heard comes back less and less, spread by chance; an agent on the own
-/// machine is asked as before.
+/// Where requests are expensive, a dispatcher that is rejected or not answered returns less and less often,
+/// at randomised times; a local agent is asked as often as before.
 #[test]
 fn a_registry_with_much_to_do_is_asked_less() {
     let ms = Duration::from_millis;
@@ -92,7 +95,8 @@
             continue;
         }
         assert!(pauses.is_sorted() && waits.is_sorted() && pauses[11] == ms(6000) && waits[11] == ms(3000));
-        // 300 that are refused at once: within 6 s each comes back some times, never many at once for good.
+        // 300 that are rejected at once: within 6 s each returns a few times, and never many at once for
+        // good.
         let calls: usize = (0..300)
             .map(|i| {
                 let part = f64::from(i) / 300.0;
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -1,7 +1,8 @@
-//! Which servers are asked to release what is held for a request, when, and how often. Any running server can be asked, and
-//! passes it on. A call that was written may never arrive, and connections fall silent without an error: so calls go out in
-//! waves that widen until one is answered. Who read the prompt may be behind the very cut that ended the read, and so may
-//! all of its zone: hence the next to be asked should share as little as possible with those that did not answer.
+//! Selects the servers to ask for the release of what is held for a request, when, and how often. Any running
+//! server accepts such a call and forwards it. A call may be lost, and connections may fall silent without an
+//! error: so calls are sent in growing waves until one is answered. The reader of the prompt may be behind
+//! the network fault that ended the read, and so may its whole zone: so the next server should share as
+//! little as possible with those that did not answer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,17 +12,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Server {
     pub zone: u32,
-    /// Of the own zone: what cuts zones apart leaves these.
+    /// In the dispatcher's own zone, which stays reachable when zones are cut off from each other.
     pub near: bool,
-    /// The last that was wanted of it failed.
+    /// The last request to it failed.
     pub doubted: bool,
     /// A connection to it is open.
     pub ready: bool,
-    /// How often it was asked for this request.
+    /// How often it has been asked for this request.
     pub tried: u32,
 }
 
-/// Calls that go out side by side.
+/// Calls that are sent in parallel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wave {
     pub calls: u32,
@@ -29,23 +30,24 @@
     pub lasts: Duration,
 }
 
-/// The decisions leave three twentieths of the stated time at the least: the first waves fit into it.
+/// The release time is divided into this many steps. The decisions leave at least three of them: the first
+/// waves fit into these.
 const STEPS: u32 = 20;
 
-/// The calls of the first waves, a step apart: with half of all connections silent one release in two thousand gets no
-/// answer to these.
+/// Calls of the first waves, which are one step apart: with half of all connections silent, one release in
+/// two thousand gets no answer to these.
 const WIDENS: [u32; 4] = [1, 2, 4, 4];
 
-/// All that is left then is silence on all sides, as when the own way out is cut: further waves have so many calls.
+/// Calls of each later wave. By then all servers are silent, as when the dispatcher's own network is cut off.
 const LATER: u32 = 2;
 
-/// Waves at most: after that, some three times the stated time, servers free by themselves what is left.
+/// Limit of waves: after these, at about three times the release time, servers free the rest by themselves.
 const MOST: u32 = 17;
 
-/// One server may take two steps to answer.
+/// Steps that one server may take to answer.
 const ANSWER_STEPS: u32 = 2;
 
-/// What the end of an attempt tells of whether its server can be reached, if anything.
+/// Whether the end of an attempt shows that its server can be reached; `None` if it shows neither.
 pub fn answers(outcome: Outcome) -> Option<bool> {
     use Outcome::*;
     match outcome {
@@ -55,7 +57,8 @@
     }
 }
 
-/// What is left of the stated time once the decisions ask for a release: one that takes longer is late.
+/// The part of the release time that is left when the decisions request a release: one that takes longer is
+/// late.
 pub fn left_after_it_is_owed(release: Duration) -> Duration {
     release * 3 / STEPS
 }
@@ -65,7 +68,7 @@
     release * ANSWER_STEPS / STEPS
 }
 
-/// The wave after so many; absent: the release is given up.
+/// The wave that follows `before` waves; `None` means that the release is abandoned.
 pub fn wave(before: u32, release: Duration) -> Option<Wave> {
     let step = release / STEPS;
     match WIDENS.get(before as usize) {
@@ -75,20 +78,21 @@
     }
 }
 
-/// Whether a call goes over a new connection even if one is kept: of the first wave none, then every second one, as kept
-/// connections may all have fallen silent.
+/// Whether a call uses a new connection even if a pooled one is available: never in the first wave, then
+/// every second call, as pooled connections may all have fallen silent.
 pub fn wants_new_connection(wave: u32, call: u32) -> bool {
     wave > 0 && call % 2 == 1
 }
 
-/// After a read that ended in silence: it may still have been under way when its server was asked, where that was cut off.
-/// Asked once more then, well inside the time.
+/// Delay of the repeated release after a read that ended in silence: where the server was cut off, the read
+/// may still have been in transit when the first release arrived. Well within the release time.
 pub fn once_more(release: Duration) -> Duration {
     release / 3
 }
 
-/// Whom to ask: who holds it, if it answers; else the one least tried, of a zone tried least, that is not doubted, near,
-/// and needs no new connection; of those alike one by chance, so that not all dispatchers meet at one server.
+/// The server to ask next: the holder if it responds; otherwise the least tried one, of the zone with the
+/// fewest failures, preferring servers that are not suspected, are in the own zone and have an open
+/// connection. Ties are broken at random, so that dispatchers do not all choose the same server.
 pub fn next(servers: &[Server], holds: Option<usize>, mut chance: impl FnMut() -> u32) -> Option<usize> {
     let is_sound = |at: &usize| servers.get(*at).is_some_and(|server| !server.doubted && server.tried == 0);
     if let Some(at) = holds.filter(is_sound) {
--- a/crates/platform/src/release/tests.rs
+++ b/crates/platform/src/release/tests.rs
@@ -41,7 +41,8 @@
     assert!(asked.iter().all(|times| (50..200).contains(times)), "{asked:?}");
 }
 
-/// The first calls are out, and one server has had its time to answer, inside what the decisions leave; all waves end.
+/// All first calls are sent, and one server has had its time to answer, within the time that the decisions
+/// leave; the number of waves is finite.
 #[test]
 fn waves_widen_and_end() {
     let release = Duration::from_secs(1);
@@ -59,8 +60,8 @@
     assert!(begins > 3 * release && begins < 5 * release, "{begins:?}");
 }
 
-/// Kept connections may all have fallen silent: from the second wave on each has a call over a new one, and one over a
-/// kept one, as new ones may be what fails.
+/// Pooled connections may all have fallen silent: from the second wave on each wave has a call over a new
+/// connection, and one over a pooled one, as connecting may be what fails.
 #[test]
 fn each_wider_wave_has_a_new_and_a_kept_connection() {
     let release = Duration::from_secs(1);
--- a/crates/platform/src/room.rs
+++ b/crates/platform/src/room.rs
@@ -1,28 +1,30 @@
-//! Which connections there is room for. A dispatcher has so many descriptors; whoever says nothing must not take
-//! them from those who ask, nor clients from hosts. Decided here from counts and times alone.
+//! The budget of sockets. A dispatcher has a limited number of descriptors; silent connections must not take
+//! them from active clients, nor clients from hosts. All decisions depend on counts and times alone.
 
 use std::time::Duration;
 
-/// Held beside connections: standard streams, the listener, event queues, the registry, a signal's pipe.
+/// Descriptors other than connections: standard streams, the listener, event queues, the registry, the signal
+/// pipe.
 const OTHERS: usize = 24;
 
-/// A new connection that says nothing is closed, and one that takes longer for a request: the platform wants either
-/// answered within 3 s, and a sound client sends at once.
+/// Time for the first byte of a new connection and for a whole request. The platform requires an answer to
+/// either within 3 s, and a healthy client sends at once.
 pub const SAYS_NOTHING: Duration = Duration::from_millis(1500);
 pub const REQUEST: Duration = Duration::from_millis(2000);
 
-/// How long a connection that has just come up is left alone by a stop: its client sends its first request at once, some
-/// round trips later at most.
+/// For how long a stop spares a new connection: its client sends the first request at once, at most a few
+/// round trips later.
 pub const FIRST: Duration = Duration::from_millis(150);
 
-/// Requests of one connection that may be read ahead of their turn.
+/// Requests of one connection that may be read ahead while another one is answered.
 pub const AHEAD: usize = 2;
 
-/// Bytes that are read from a client which can't be understood any more, to see whether it is still there: four of the
-/// largest bodies, a moment's work.
+/// Bytes read and discarded from a client whose input is malformed, to notice when it disconnects: four of
+/// the largest bodies, which take a moment.
 pub const SWALLOWS: usize = 4 * crate::call::BODY;
 
-/// How long a connection lingers behind its last answer: some round trips, few descriptors.
+/// How long a connection stays half open after its last answer: a few round trips, during which it holds a
+/// descriptor.
 pub const LINGERS: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,22 +32,22 @@
     sockets: usize,
 }
 
-/// A client's connection as far as it matters here.
+/// State of a client connection, as far as eviction depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Idle {
     pub since: Duration,
-    /// Part of a request has come.
+    /// Part of a request has been received.
     pub part: bool,
-    /// It has been answered before: its client may well ask again.
+    /// At least one request has been answered: the client is likely to send another.
     pub known: bool,
 }
 
-/// What makes room.
+/// What to close to free descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Goes {
-    /// A client without a request.
+    /// A client connection without a whole request.
     Client,
-    /// Idle connections to hosts: new ones cost a round trip or two.
+    /// Idle connections to hosts: a new one costs one or two round trips.
     IdleHosts,
 }
 
@@ -54,44 +56,46 @@
         Room { sockets: sockets.saturating_sub(OTHERS).max(8) }
     }
 
-    /// Half for clients: each task in hand has a connection to a client and one to a host.
+    /// Half of the sockets: each open task has one connection to a client and one to a host.
     pub fn clients(&self) -> usize {
         self.sockets / 2
     }
 
-    /// Tasks in hand: with room beside them for clients who only connect.
+    /// Limit of open tasks: leaves room for clients that are connected without a task.
     pub fn tasks(&self) -> usize {
         self.sockets * 2 / 5
     }
 
-    /// How long a connection stays open between requests: while less than a quarter of the clients' room is taken
-    /// there is no need to close it; else a little over the 2 s that the platform's clients may count on.
+    /// How long a connection stays open between requests: 10 s while less than a quarter of the client limit
+    /// is used, as there is no need to close it sooner; otherwise a little more than the 2 s that the
+    /// platform guarantees to clients.
     pub fn idle(&self, clients: usize) -> Duration {
         Duration::from_millis(if clients * 4 < self.clients() { 10_000 } else { 2500 })
     }
 
-    /// Whether a connection to a host is kept for later with so many sockets held.
+    /// Whether a connection to a host may be returned to the pool while `held` sockets are open.
     pub fn keeps(&self, held: usize) -> bool {
         held * 4 < self.sockets * 3
     }
 
-    /// Whether a connection to a host may be opened with so many sockets held: the rest is for the registry, for calls
-    /// that let go and for what is read on a signal.
+    /// Whether a connection to a host may be opened while `held` sockets are open: the remainder is reserved
+    /// for the registry, for release requests and for files that are read on a signal.
     pub fn connects(&self, held: usize) -> bool {
         held < self.sockets
     }
 
-    /// Whether a connection that ends may wait for its client to see that, with so many sockets held.
+    /// Whether a connection that is being closed may wait for its client to notice, while `held` sockets are
+    /// open.
     pub fn lingers(&self, held: usize) -> bool {
         held * 2 < self.sockets
     }
 
-    /// Whether few are left with so many held.
+    /// Whether at least seven eighths of the sockets are in use.
     pub fn is_short(&self, held: usize) -> bool {
         held * 8 >= self.sockets * 7
     }
 
-    /// Who must go for the newest of so many clients, with so many sockets held.
+    /// What to close for the newest of `clients` clients, while `held` sockets are open.
     pub fn must_go(&self, clients: usize, held: usize) -> Option<Goes> {
         match (clients > self.clients(), self.is_short(held)) {
             (true, _) => Some(Goes::Client),
@@ -100,8 +104,9 @@
         }
     }
 
-    /// Who goes for a new client: of those without a request, who never asked before those who did, then who has been
-    /// silent for longest; those of whose request a part has come behind all others. None may, if all have a whole one.
+    /// Selects the client to evict for a new one: of those without a request first the ones that never sent
+    /// any, then the one that has been silent longest; those that have sent part of a request come last. None
+    /// if every client has a whole request.
     pub fn goes(&self, idle: impl Iterator<Item = (usize, Idle)>) -> Option<usize> {
         idle.min_by_key(|(_, about)| (about.part, about.known, about.since)).map(|(at, _)| at)
     }
--- a/crates/platform/src/room/tests.rs
+++ b/crates/platform/src/room/tests.rs
@@ -16,7 +16,7 @@
     ] {
         assert_eq!(room.must_go(clients, held), goes, "{clients} clients, {held} held");
     }
-    // Who never asked goes before who did, then who has been silent for longest.
+    // Clients that never sent a request are evicted first, then the one that has been silent longest.
     let idle = |since, known| Idle { since: ms(since), part: false, known };
     let part = |since, known| Idle { part: true, ..idle(since, known) };
     for (all, goes) in [
@@ -28,7 +28,7 @@
     ] {
         assert_eq!(room.goes(all.iter().copied().enumerate()), goes, "{all:?}");
     }
-    // Few sockets leave some room, an idle client is closed sooner where many are.
+    // A small limit still leaves some sockets, and idle clients are closed sooner when there are many.
     assert!(Room::new(0).clients() > 0 && Room::new(0).tasks() > 0);
     assert!(room.idle(10) > room.idle(90) && room.idle(90) > ms(2000));
 }
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told at start, and again when it is told to read its configuration anew.
+//! The configuration of a dispatcher, read at start and again when a reload is requested.
 
 use crate::registry::{self, List};
 use serde::Deserialize;
@@ -17,7 +17,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    /// The list of hosts as this dispatcher had it last; it may be old.
+    /// The last host list that this dispatcher had; it may be out of date.
     pub known: Option<List>,
     pub terms: Terms,
 }
@@ -43,19 +43,19 @@
 }
 
 impl Start {
-    /// Reads the configuration; a fault is told in plain words.
+    /// Parses the configuration; the error text names the fault.
     pub fn read(text: &str) -> Result<Start, String> {
         let told: Told = serde_json::from_str(text).map_err(|fault| format!("the configuration: {fault}"))?;
-        // A seed of another form still makes a start of its own for each dispatcher.
+        // A seed that is not hexadecimal is hashed, so that each dispatcher still gets a seed of its own.
         let seed = u64::from_str_radix(&told.seed, 16).unwrap_or(tulipstall::door::mark(&told.seed));
         Ok(Start {
             name: told.name,
             listen: told.listen,
             discovery: told.discovery,
             seed,
-            // What a process may hold where nothing is told: the usual limit of the system.
+            // The usual descriptor limit of the system, for a configuration that gives none.
             limits: Limits { sockets: told.limits.sockets.unwrap_or(1024) },
-            // An old list that can't be read is as good as none.
+            // A cached list that cannot be read is ignored.
             known: told.known.and_then(|known| registry::parse(&known).ok()),
             terms: crate::terms(&told.settings),
         })
--- a/crates/platform/src/terms.rs
+++ b/crates/platform/src/terms.rs
@@ -1,5 +1,5 @@
-//! The platform's words for what is told at start, on its wire and in its configuration alike, turned into the
-//! house's words. Nothing is decided here.
+//! Translates the platform's names in the start configuration, which are the same on its wire and in its
+//! files, into the dotted names that the dispatcher uses. Values are not interpreted here.
 
 use serde_json::Value;
 use tulipstall::interface::{Term, Terms};
@@ -31,7 +31,7 @@
             terms.0.insert(name, Term::Number(number.as_f64().unwrap_or(0.0)));
         }
         Value::String(text) => {
-            // Names are the customers' own, whatever words they use.
+            // Only effects are translated: names belong to the customers and may contain any word.
             let effect = name.ends_with(".effect");
             let text = if effect { house_value(text) } else { text };
             terms.0.insert(name, Term::Text(text.to_owned()));
--- a/crates/platform/tests/ages.rs
+++ b/crates/platform/tests/ages.rs
@@ -12,7 +12,8 @@
 
 #[test]
 fn a_process_is_never_aged_by_a_step_of_the_wall_clock() {
-    // Seconds since the dispatcher's start; what the wall clock was set by; the process's true age; at most so old.
+    // Seconds since the dispatcher's start; by how many seconds the wall clock was set; the process's true
+    // age; the expected age.
     for (since_start, set_by, age, expected) in
         [(20, 0, 5, 5), (20, 3600, 5, 5), (20, -3600, 5, 0), (20, 3600, 7200, 7200), (20, -3600, 7200, 3600)]
     {
@@ -27,7 +28,7 @@
     }
 }
 
-/// All machines' clocks are set, and a process begins after that: its start is told by the new time.
+/// The clocks of all machines are set, and a process starts after that: its start is given by the new time.
 #[test]
 fn a_process_that_begins_after_all_clocks_were_set_is_young() {
     for set_by in [3600, -3600] {
