--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -204,7 +204,17 @@
         }
         let (ms, after) = (sent.elapsed().as_millis() as u64, (sent - self.task.arrived).as_millis() as u64);
         let (id, host) = (&self.task.call.id, &way.name);
-        tracing::debug!(id, shot = self.number, host, reads = self.reads, ?outcome, after, ms, kept, "shot");
+        tracing::debug!(
+            id,
+            shot = self.number,
+            host,
+            reads = self.reads,
+            ?outcome,
+            after,
+            ms,
+            kept,
+            "attempt ended"
+        );
     }
 
     /// The outcome to report: a cancelled attempt ends as cancelled, whatever its socket returned.
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -271,7 +271,7 @@
                     if errors::tells(&error) == Tells::NoDescriptor {
                         shared.hosts.clear();
                     }
-                    tracing::debug!(%error, "no connection is accepted");
+                    tracing::debug!(%error, "accepting a connection failed");
                     tulipstall_net::sleep(Duration::from_millis(10));
                     continue;
                 }
@@ -288,7 +288,7 @@
                 }
             };
             if !made {
-                tracing::debug!(clients, held, "no room for a client");
+                tracing::debug!(clients, held, "client rejected: no socket left");
                 let come_back = shared.advice(Duration::from_millis(200));
                 let _ = link.write_now(plain(503, "too many connections", false, come_back).as_bytes());
                 link.shut();
@@ -516,7 +516,7 @@
         if status != 200 {
             let (clients, in_hand) =
                 (self.shared.clients.count(), self.shared.in_hand.load(Ordering::Relaxed));
-            tracing::debug!(status, why, clients, in_hand, held = sockets_held(), "refused");
+            tracing::debug!(status, why, clients, in_hand, held = sockets_held(), "request rejected");
         }
         self.client.write(plain(status, why, keep_alive, come_back).as_bytes()).is_ok() && keep_alive
     }
@@ -601,7 +601,7 @@
         let waited = catch_unwind(AssertUnwindSafe(|| self.wait_for_answer(&task, head)));
         let (answer, keeps) = waited.unwrap_or_else(|_| {
             // A stream that had begun ends without its last chunk, and so does any other answer in progress.
-            tracing::error!(id = task.call.id, "a panic while answering: the task is broken off");
+            tracing::error!(id = task.call.id, "panic while answering; task aborted");
             task.close();
             shared.posts.post(Post::Gone(task.clone()));
             ("broken off", false)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -175,7 +175,7 @@
         registry::start(shared.clone(), Patience::told(&start.terms), known);
         front::start(shared.clone(), listener.clone());
         let zone = start.terms.text("zone").unwrap_or_default();
-        tracing::info!(name = start.name, %address, sockets = start.limits.sockets, zone, "runs");
+        tracing::info!(name = start.name, %address, sockets = start.limits.sockets, zone, "listening");
         Ok(Node { shared, listener, address, owner: Mutex::new(Some(owner)) })
     }
 
@@ -192,7 +192,7 @@
     pub fn stop(&self) {
         let shared = &self.shared;
         shared.draining.store(true, Ordering::SeqCst);
-        tracing::info!(in_hand = shared.in_hand.load(Ordering::SeqCst), "stops");
+        tracing::info!(in_hand = shared.in_hand.load(Ordering::SeqCst), "stopping");
         thread::sleep(STILL_TAKES);
         // A request that is complete only now might not be answered before the platform kills the process.
         shared.refuses.store(true, Ordering::SeqCst);
@@ -234,7 +234,7 @@
     let dead = over.clone();
     let buries = move || {
         if owner.is_some_and(|owner| owner.join().is_err()) {
-            let _ = dead.send(Err("the decisions have died".to_owned()));
+            let _ = dead.send(Err("the thread that owns the decisions has panicked".to_owned()));
         }
     };
     named("owner's end").spawn(buries).map_err(told)?;
@@ -266,11 +266,11 @@
         while Instant::now() < until {
             match read(config) {
                 Ok(start) => {
-                    tracing::info!(registry = %start.discovery, "configuration read again");
+                    tracing::info!(registry = %start.discovery, "configuration reloaded");
                     node.moved(start.discovery);
                     break;
                 }
-                Err(why) => tracing::warn!(why, "the configuration is not taken"),
+                Err(why) => tracing::warn!(why, "configuration rejected"),
             }
             if replaced.recv_timeout(Duration::from_millis(50)).is_ok() {
                 until = Instant::now() + READS_AGAIN;
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -90,7 +90,7 @@
             let (name, out) = (&way.name, way.out.load(Ordering::Relaxed));
             let Belief { shots, reading, writing, doubt, slow } = belief;
             let zone = way.zone;
-            tracing::debug!(host = name, zone, shots, out, reading, writing, doubt, slow, "believes");
+            tracing::debug!(host = name, zone, shots, out, reading, writing, doubt, slow, "beliefs");
         }
     }
 
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -53,7 +53,7 @@
             if let Err(failed) = followed {
                 let why = match failed {
                     Failed::Fault(fault) => format!("{fault:?}"),
-                    Failed::Refused => "it refuses".to_owned(),
+                    Failed::Refused => "request rejected".to_owned(),
                 };
                 if matches!(failed, Failed::Refused) {
                     pause = patience.after_refusal(known.refused, shared.hosts.chance());
@@ -100,7 +100,7 @@
         return Err(Fault::Rubbish.into());
     }
     let list = read(&body).map_err(|why| {
-        tracing::warn!(why, "a list is not taken");
+        tracing::warn!(why, "malformed list ignored");
         Fault::Rubbish
     })?;
     if reply.reader.reusable() {
@@ -145,7 +145,10 @@
         let as_of = newer_than.map(|(seq, _)| seq);
         known.seq = None;
         if !known.versions.takes(shared.now(), list.seq) {
-            tracing::warn!(seq = list.seq, "a list older than one before only closes hosts");
+            tracing::warn!(
+                seq = list.seq,
+                "list older than a previous one: only its closed hosts are applied"
+            );
             let closed = |line: &Line| line.standing() != Standing::Running;
             let hosts = list.hosts.into_iter().filter(closed).collect();
             shared.hosts.apply(shared, &List { hosts, ..list }, false);
