--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -2,9 +2,9 @@
 //! here: what follows an end is decided by the rules.
 
 use crate::front::Message;
-use crate::hosts::Way;
-use crate::owner::Post;
-use crate::task::{Out, Task};
+use crate::hosts::Endpoint;
+use crate::owner::OwnerMessage;
+use crate::task::{ShotHandle, Task};
 use crate::{Shared, lock};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,28 +12,34 @@
 use tulipstall::interface::Outcome;
 use tulipstall_core::{End, Input, TaskId};
 use tulipstall_net::{Fault, Link, Reply, sockets_held};
-use tulipstall_platform::host::{self, ANSWER, Events, Says};
-use tulipstall_platform::kept::Kept;
+use tulipstall_platform::host::{self, ANSWER_LIMITS, AnswerKind, EventSplitter};
+use tulipstall_platform::kept::ReuseHistory;
 use tulipstall_platform::{patience, release};
 
+/// One attempt of a task at one host.
 pub struct Attempt {
     pub shared: Arc<Shared>,
     pub id: TaskId,
     pub task: Arc<Task>,
+    /// Number of the attempt within its task.
     pub number: u32,
+    /// Index of the host in the decisions.
     pub host: u32,
+    /// Whether it only reads the prompt.
     pub reads: bool,
-    pub out: Arc<Out>,
+    pub handle: Arc<ShotHandle>,
+    /// Time limit for the whole attempt.
     pub until: Instant,
+    /// Latest time at which its request may be written.
     pub begin_by: Instant,
 }
 
 /// A stream whose first event has arrived, handed to the client's coroutine with everything needed to end it.
-pub struct Begun {
-    pub attempt: Closing,
-    pub way: Arc<Way>,
+pub struct BegunStream {
+    pub reporter: EndReporter,
+    pub endpoint: Arc<Endpoint>,
     pub reply: Reply,
-    pub events: Events,
+    pub events: EventSplitter,
     /// Events that have been received and not yet passed on.
     pub bytes: Vec<u8>,
     pub ended: bool,
@@ -41,51 +47,51 @@
 
 /// Reports the end of an attempt to the decisions, exactly once: dropped without a report, as by a panic, it
 /// reports the attempt as broken.
-pub struct Closing {
+pub struct EndReporter {
     shared: Arc<Shared>,
     id: TaskId,
     number: u32,
-    told: bool,
+    reported: bool,
     /// The endpoint that the attempt is counted at as in flight.
-    at: Option<Arc<Way>>,
+    in_flight_at: Option<Arc<Endpoint>>,
 }
 
-impl Closing {
+impl EndReporter {
     /// Counts the attempt as in flight: its request is written after this.
-    fn is_out(&mut self, way: &Arc<Way>) {
-        way.out.fetch_add(1, Ordering::Relaxed);
-        self.at = Some(way.clone());
+    fn mark_in_flight(&mut self, endpoint: &Arc<Endpoint>) {
+        endpoint.in_flight.fetch_add(1, Ordering::Relaxed);
+        self.in_flight_at = Some(endpoint.clone());
     }
 
     pub fn close(mut self, outcome: Outcome, end: End) {
-        self.tell(outcome, end);
+        self.report(outcome, end);
     }
 
-    fn tell(&mut self, outcome: Outcome, end: End) {
-        self.told = true;
-        if let Some(way) = self.at.take() {
-            way.out.fetch_sub(1, Ordering::Relaxed);
+    fn report(&mut self, outcome: Outcome, end: End) {
+        self.reported = true;
+        if let Some(endpoint) = self.in_flight_at.take() {
+            endpoint.in_flight.fetch_sub(1, Ordering::Relaxed);
         }
         let (task, shot) = (self.id, self.number);
-        self.shared.posts.post(Post::Told(Input::Closed { task, shot, outcome, end }));
+        self.shared.owner_queue.send(OwnerMessage::Input(Input::Closed { task, shot, outcome, end }));
     }
 }
 
-impl Drop for Closing {
+impl Drop for EndReporter {
     fn drop(&mut self) {
-        if !self.told {
-            self.tell(Outcome::Broken, End::default());
+        if !self.reported {
+            self.report(Outcome::Broken, End::default());
         }
     }
 }
 
-enum Done {
+enum ShotResult {
     Ended(Outcome, End),
-    Begins(Box<(Reply, Events, Vec<u8>, bool)>),
+    StreamBegun(Box<(Reply, EventSplitter, Vec<u8>, bool)>),
 }
 
 /// Outcome without an answer, or with one that cannot be read: the host may have started.
-fn unanswered(fault: Fault) -> Outcome {
+fn outcome_without_answer(fault: Fault) -> Outcome {
     match fault {
         Fault::TimedOut => Outcome::TimedOut,
         Fault::Rubbish => Outcome::Spoilt,
@@ -94,51 +100,51 @@
 }
 
 /// Outcome without a connection: provably nothing has run. The host is blamed only for its own faults.
-fn unconnected(fault: Fault) -> Outcome {
+fn outcome_without_connection(fault: Fault) -> Outcome {
     if fault == Fault::OwnMachine { Outcome::Moot } else { Outcome::NoConnection }
 }
 
 /// Delay before another try to connect after a local shortage.
-const AGAIN: Duration = Duration::from_millis(10);
+const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// For how long a local shortage is retried.
-const AGAIN_FOR: Duration = Duration::from_millis(50);
+const LOCAL_RETRY_WINDOW: Duration = Duration::from_millis(50);
 
-fn left(until: Instant) -> Duration {
+fn time_left(until: Instant) -> Duration {
     until.saturating_duration_since(Instant::now())
 }
 
 impl Shared {
     /// A pooled connection to a host that is worth using, and how long it was idle.
-    fn kept(&self, way: &Way) -> Option<(Link, Duration)> {
+    fn pooled_link(&self, endpoint: &Endpoint) -> Option<(Link, Duration)> {
         let now = self.now();
-        way.pool.idle_if(|idle| lock(&self.kept).trusts(now, idle))
+        endpoint.pool.idle_if(|idle| lock(&self.reuse_history).worth_using(now, idle))
     }
 
     /// A pooled connection, with its idle time; otherwise a new one.
-    pub fn link(&self, way: &Way, within: Duration) -> Result<(Link, Option<Duration>), Fault> {
-        match self.kept(way) {
+    pub fn link(&self, endpoint: &Endpoint, within: Duration) -> Result<(Link, Option<Duration>), Fault> {
+        match self.pooled_link(endpoint) {
             Some((link, idle)) => Ok((link, Some(idle))),
-            None => Ok((self.new_link(way, within)?, None)),
+            None => Ok((self.new_link(endpoint, within)?, None)),
         }
     }
 
     /// A new connection. A local shortage of descriptors or ports may pass in a moment, so connecting is
     /// retried, but only for a short time: a long delay would make the host appear slow.
-    pub fn new_link(&self, way: &Way, within: Duration) -> Result<Link, Fault> {
-        let within = self.connect.min(within);
-        let (until, again_until) = (Instant::now() + within, Instant::now() + within.min(AGAIN_FOR));
+    pub fn new_link(&self, endpoint: &Endpoint, within: Duration) -> Result<Link, Fault> {
+        let within = self.connect_timeout.min(within);
+        let (until, retry_until) = (Instant::now() + within, Instant::now() + within.min(LOCAL_RETRY_WINDOW));
         loop {
-            let link = Link::connect(&way.address(), left(until));
+            let link = Link::connect(&endpoint.address(), time_left(until));
             if !matches!(link, Err(Fault::OwnMachine)) {
                 return link;
             }
-            if left(again_until).is_zero() {
+            if time_left(retry_until).is_zero() {
                 return Err(Fault::OwnMachine);
             }
-            tracing::debug!(host = way.name, "no connection for want of something of the own machine");
-            tulipstall_net::sleep(AGAIN);
-            if left(until).is_zero() {
+            tracing::debug!(host = endpoint.name, "no connection for want of something of the own machine");
+            tulipstall_net::sleep(LOCAL_RETRY_DELAY);
+            if time_left(until).is_zero() {
                 return Err(Fault::OwnMachine);
             }
         }
@@ -146,64 +152,66 @@
 
     /// Whether an attempt can get a connection. Closes the idle ones if there is no descriptor left for a new
     /// one.
-    fn has_room(&self, way: &Way) -> bool {
-        let room = || self.room.connects(sockets_held());
-        way.pool.any() || room() || {
-            self.hosts.clear();
-            room()
+    fn can_connect(&self, endpoint: &Endpoint) -> bool {
+        let within_budget = || self.socket_budget.may_connect(sockets_held());
+        endpoint.pool.any() || within_budget() || {
+            self.hosts.close_idle();
+            within_budget()
         }
     }
 }
 
 /// Returns a connection to the pool once its answer has ended properly.
-pub fn give_back(shared: &Shared, way: &Way, reply: Reply) {
+pub fn return_to_pool(shared: &Shared, endpoint: &Endpoint, reply: Reply) {
     if reply.reader.reusable() {
-        shared.hosts.keep(shared, way, reply.link);
+        shared.hosts.pool_link(shared, endpoint, reply.link);
     }
 }
 
 impl Attempt {
-    pub fn run(self, way: Option<Arc<Way>>) {
+    pub fn run(self, endpoint: Option<Arc<Endpoint>>) {
         let (shared, id, number) = (self.shared.clone(), self.id, self.number);
-        let mut closing = Closing { shared, id, number, told: false, at: None };
-        let Some(way) = way else { return closing.close(Outcome::Moot, End::default()) };
+        let mut reporter = EndReporter { shared, id, number, reported: false, in_flight_at: None };
+        let Some(endpoint) = endpoint else { return reporter.close(Outcome::Moot, End::default()) };
         let sent = Instant::now();
-        let done = self.shoot(&way, &mut closing);
-        self.out.hold(None);
-        match done {
-            Ok(Done::Ended(outcome, end)) => {
-                self.note(&way, outcome, sent, end.kept_tokens);
-                closing.close(outcome, end);
+        let result = self.send(&endpoint, &mut reporter);
+        self.handle.set_link(None);
+        match result {
+            Ok(ShotResult::Ended(outcome, end)) => {
+                self.record_end(&endpoint, outcome, sent, end.kept_tokens);
+                reporter.close(outcome, end);
             }
             Err(outcome) => {
-                let outcome = self.seen(outcome);
-                self.note(&way, outcome, sent, 0);
+                let outcome = self.outcome_to_report(outcome);
+                self.record_end(&endpoint, outcome, sent, 0);
                 // The host may have read the prompt all the same, and then it holds a state.
                 let state = (self.reads && !outcome.never_ran()).then(|| self.task.call.id.clone());
-                closing.close(outcome, End { state, host: self.host, ..End::default() });
+                reporter.close(outcome, End { state, host: self.host, ..End::default() });
             }
-            Ok(Done::Begins(begins)) => {
-                if !self.out.begin() || !self.task.take(self.number) {
+            Ok(ShotResult::StreamBegun(stream)) => {
+                if !self.handle.begin() || !self.task.claim(self.number) {
                     // Another answer was first: this one is discarded, and the end of its connection informs
                     // the writer.
-                    begins.0.link.shut();
-                    return closing.close(Outcome::Cancelled, End::default());
+                    stream.0.link.shut();
+                    return reporter.close(Outcome::Cancelled, End::default());
                 }
-                self.note(&way, Outcome::Delivered, sent, 0);
-                self.shared.posts.post(Post::Told(Input::Began { task: self.id, shot: self.number }));
-                let (reply, events, bytes, ended) = *begins;
-                let begun = Begun { attempt: closing, way, reply, events, bytes, ended };
+                self.record_end(&endpoint, Outcome::Delivered, sent, 0);
+                self.shared
+                    .owner_queue
+                    .send(OwnerMessage::Input(Input::Began { task: self.id, shot: self.number }));
+                let (reply, events, bytes, ended) = *stream;
+                let begun = BegunStream { reporter, endpoint, reply, events, bytes, ended };
                 let _ = self.task.inbox.send(Message::Begun { id: self.id, begun: Box::new(begun) });
             }
         }
     }
 
-    fn note(&self, way: &Way, outcome: Outcome, sent: Instant, kept: u32) {
-        if let Some(it_does) = release::answers(outcome) {
-            way.answers(it_does);
+    fn record_end(&self, endpoint: &Endpoint, outcome: Outcome, sent: Instant, cached_tokens: u32) {
+        if let Some(reachable) = release::reachability(outcome) {
+            endpoint.set_reachable(reachable);
         }
         let (ms, after) = (sent.elapsed().as_millis() as u64, (sent - self.task.arrived).as_millis() as u64);
-        let (id, host) = (&self.task.call.id, &way.name);
+        let (id, host) = (&self.task.call.id, &endpoint.name);
         tracing::debug!(
             id,
             shot = self.number,
@@ -212,16 +220,16 @@
             ?outcome,
             after,
             ms,
-            kept,
+            kept = cached_tokens,
             "attempt ended"
         );
     }
 
     /// The outcome to report: a cancelled attempt ends as cancelled, whatever its socket returned.
-    fn seen(&self, outcome: Outcome) -> Outcome {
+    fn outcome_to_report(&self, outcome: Outcome) -> Outcome {
         match outcome {
             Outcome::Moot | Outcome::NoConnection => outcome,
-            _ if self.out.cancelled() => Outcome::Cancelled,
+            _ if self.handle.cancelled() => Outcome::Cancelled,
             _ => outcome,
         }
     }
@@ -231,83 +239,84 @@
     fn client_is_gone(&self) -> bool {
         let gone = self.task.client_is_gone();
         if gone && self.task.close() {
-            self.shared.posts.post(Post::Gone(self.task.clone()));
-            let _ = self.task.inbox.send(Message::Gone { id: self.id });
+            self.shared.owner_queue.send(OwnerMessage::ClientGone(self.task.clone()));
+            let _ = self.task.inbox.send(Message::ClientGone { id: self.id });
         }
         gone
     }
 
-    fn shoot(&self, way: &Arc<Way>, closing: &mut Closing) -> Result<Done, Outcome> {
+    fn send(&self, endpoint: &Arc<Endpoint>, reporter: &mut EndReporter) -> Result<ShotResult, Outcome> {
         // Drained or removed since the decision, or cancelled: provably never sent.
-        let may = || (way.open() && !self.out.cancelled()).then_some(()).ok_or(Outcome::Moot);
-        may()?;
-        let within = left(self.until.min(self.begin_by));
-        if within.is_zero() || !self.shared.has_room(way) {
+        let check_open =
+            || (endpoint.is_open() && !self.handle.cancelled()).then_some(()).ok_or(Outcome::Moot);
+        check_open()?;
+        let within = time_left(self.until.min(self.begin_by));
+        if within.is_zero() || !self.shared.can_connect(endpoint) {
             return Err(Outcome::Moot);
         }
-        let (link, idle) = self.shared.link(way, within).map_err(unconnected)?;
-        self.out.hold(Some(&link));
-        may()?;
+        let (link, idle) = self.shared.link(endpoint, within).map_err(outcome_without_connection)?;
+        self.handle.set_link(Some(&link));
+        check_open()?;
         let task = &self.task;
         let request = {
             let Some(body) = task.body() else { return Err(Outcome::Moot) };
-            host::request(&task.call, left(self.until), &body)
+            host::request(&task.call, time_left(self.until), &body)
         };
-        if self.client_is_gone() || left(self.begin_by).is_zero() {
+        if self.client_is_gone() || time_left(self.begin_by).is_zero() {
             return Err(Outcome::Moot);
         }
-        closing.is_out(way);
+        reporter.mark_in_flight(endpoint);
         // Nobody runs a request before its last byte is written.
         link.write(&request, self.until.min(self.begin_by)).map_err(|_| Outcome::NoConnection)?;
         let (id, bytes, idle_ms) = (&task.call.id, request.len(), idle.map(|idle| idle.as_millis() as u64));
-        tracing::debug!(id, attempt = self.number, host = way.name, bytes, idle_ms, "attempt written");
+        tracing::debug!(id, attempt = self.number, host = endpoint.name, bytes, idle_ms, "attempt written");
         drop(request);
-        let (written, mut reply) = (Instant::now(), Reply::new(link, ANSWER));
-        let head = reply.head_begun(self.until, patience::BEGUN);
-        let broke = matches!(head, Err(Fault::Broken));
-        let lost = broke && !reply.reader.any() && Kept::was_lost(written.elapsed());
+        let (written, mut reply) = (Instant::now(), Reply::new(link, ANSWER_LIMITS));
+        let head = reply.head_begun(self.until, patience::ANSWER_START_TIMEOUT);
+        let broken = matches!(head, Err(Fault::Broken));
+        let stale = broken && !reply.reader.any() && ReuseHistory::was_stale(written.elapsed());
         if let Some(idle) = idle
-            && !self.out.cancelled()
+            && !self.handle.cancelled()
         {
-            lock(&self.shared.kept).used(self.shared.now(), idle, lost);
-            if lost {
+            lock(&self.shared.reuse_history).record_use(self.shared.now(), idle, stale);
+            if stale {
                 // It may have run all the same; the host is not blamed for a fault of the connection.
                 return Err(Outcome::Stale);
             }
         }
-        let head = head.map_err(unanswered)?;
-        match host::says(&head) {
-            Says::Streams => self.first_event(reply),
-            Says::Read => {
-                let body = reply.whole_body(self.until).map_err(unanswered)?;
-                give_back(&self.shared, way, reply);
-                let Some(kept_tokens) = host::kept(&body) else { return Err(Outcome::Error) };
+        let head = head.map_err(outcome_without_answer)?;
+        match host::classify(&head) {
+            AnswerKind::Stream => self.first_event(reply),
+            AnswerKind::Read => {
+                let body = reply.whole_body(self.until).map_err(outcome_without_answer)?;
+                return_to_pool(&self.shared, endpoint, reply);
+                let Some(kept_tokens) = host::cached_tokens(&body) else { return Err(Outcome::Error) };
                 let state = Some(task.call.id.clone());
                 let (prompt_tokens, host) = (task.ask.prompt_tokens, self.host);
                 let end = End { kept_tokens, prompt_tokens, state, host, ..End::default() };
-                Ok(Done::Ended(Outcome::Read, end))
+                Ok(ShotResult::Ended(Outcome::Read, end))
             }
-            Says::Ended(outcome) => {
+            AnswerKind::Ended(outcome) => {
                 // The head is enough for an answer: no task waits for the rest, which may never arrive.
                 if reply.reader.body(&mut Vec::new()).is_ok_and(|ended| ended) {
-                    give_back(&self.shared, way, reply);
+                    return_to_pool(&self.shared, endpoint, reply);
                 }
                 Err(outcome)
             }
         }
     }
 
-    fn first_event(&self, mut reply: Reply) -> Result<Done, Outcome> {
-        let (mut events, mut bytes, mut got) = (Events::default(), Vec::new(), Vec::new());
-        let by = self.until.min(Instant::now() + patience::BEGUN);
+    fn first_event(&self, mut reply: Reply) -> Result<ShotResult, Outcome> {
+        let (mut events, mut bytes, mut received) = (EventSplitter::default(), Vec::new(), Vec::new());
+        let first_event_until = self.until.min(Instant::now() + patience::ANSWER_START_TIMEOUT);
         loop {
-            got.clear();
+            received.clear();
             // The head of the answer has arrived, so the attempt has run: whatever happens to the rest, its
             // state is gone.
-            let ended = reply.body(&mut got, by).map_err(|_| Outcome::Spoilt)?;
-            events.take(&got, &mut bytes).map_err(|_| Outcome::Spoilt)?;
-            if events.any {
-                return Ok(Done::Begins(Box::new((reply, events, bytes, ended))));
+            let ended = reply.body(&mut received, first_event_until).map_err(|_| Outcome::Spoilt)?;
+            events.feed(&received, &mut bytes).map_err(|_| Outcome::Spoilt)?;
+            if events.any_event {
+                return Ok(ShotResult::StreamBegun(Box::new((reply, events, bytes, ended))));
             }
             if ended {
                 return Err(Outcome::Spoilt);
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -11,30 +11,32 @@
 /// A request that is read crosses the end of its connection as idle: exactly one of the two takes effect,
 /// whichever came first.
 #[test]
-fn of_a_request_and_an_end_that_cross_one_holds() {
+fn a_request_and_an_idle_close_that_cross_exclude_each_other() {
     #[derive(Clone, Copy, Debug, PartialEq)]
-    enum Does {
-        Takes(bool),
-        Answers,
-        Ends(bool),
+    enum Action {
+        BeginRequest(bool),
+        EndRequest,
+        EndIfIdle(bool),
     }
-    use Does::*;
+    use Action::*;
     for steps in [
-        &[Ends(true), Takes(false), Ends(false)][..],
-        &[Takes(true), Ends(false), Answers, Ends(true), Takes(false)],
-        &[Takes(true), Takes(true), Answers, Ends(false), Answers, Ends(true)],
+        &[EndIfIdle(true), BeginRequest(false), EndIfIdle(false)][..],
+        &[BeginRequest(true), EndIfIdle(false), EndRequest, EndIfIdle(true), BeginRequest(false)],
+        &[BeginRequest(true), BeginRequest(true), EndRequest, EndIfIdle(false), EndRequest, EndIfIdle(true)],
     ] {
         let (client, _there) = client();
         for step in steps {
             match step {
-                Takes(taken) => assert_eq!(client.takes().is_some(), *taken, "{steps:?}"),
-                Answers => {
+                BeginRequest(accepted) => {
+                    assert_eq!(client.begin_request().is_some(), *accepted, "{steps:?}")
+                }
+                EndRequest => {
                     client.busy.fetch_sub(1, Ordering::SeqCst);
                 }
-                Ends(ended) => assert_eq!(client.end_if_idle(), *ended, "{steps:?}"),
+                EndIfIdle(ended) => assert_eq!(client.end_if_idle(), *ended, "{steps:?}"),
             }
         }
         // Ended once, the connection is closed.
-        assert!(client.left() && client.gone(), "{steps:?}");
+        assert!(client.has_left() && client.is_gone(), "{steps:?}");
     }
 }
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Endpoints of hosts. A host that drains or is removed is closed to new attempts the moment the list says
 //! so, before any decision.
 
-use crate::owner::Post;
+use crate::owner::OwnerMessage;
 use crate::{Shared, lock};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -20,58 +20,58 @@
 use tulipstall_platform::{patience, release};
 
 /// One process of a host, with its connections.
-pub struct Way {
+pub struct Endpoint {
     pub name: String,
     pub pool: Pool,
-    born_ms: u64,
+    started_ms: u64,
     /// Its age when it was first listed; `None` if it has been up for long.
     age: Option<Age>,
     /// Draining or removed: no new request is written to it.
     closed: AtomicBool,
     /// Removed from the list.
-    gone: AtomicBool,
+    removed: AtomicBool,
     /// Attempts whose request has been written and that have not ended.
-    pub out: AtomicUsize,
+    pub in_flight: AtomicUsize,
     pub zone: u32,
     /// The last request to it failed: it may be unreachable.
-    doubted: AtomicBool,
+    suspected: AtomicBool,
     /// Connections of the answers that stream from it.
     streams: Mutex<Slab<Link>>,
 }
 
 /// The entry of a stream in the list of its endpoint, removed on drop.
-pub struct Streams<'a>(&'a Way, usize);
+pub struct StreamEntry<'a>(&'a Endpoint, usize);
 
-impl Drop for Streams<'_> {
+impl Drop for StreamEntry<'_> {
     fn drop(&mut self) {
         lock(&self.0.streams).try_remove(self.1);
     }
 }
 
-impl Way {
-    pub fn open(&self) -> bool {
+impl Endpoint {
+    pub fn is_open(&self) -> bool {
         !self.closed.load(Ordering::Acquire)
     }
 
-    pub fn gone(&self) -> bool {
-        self.gone.load(Ordering::SeqCst)
+    pub fn is_removed(&self) -> bool {
+        self.removed.load(Ordering::SeqCst)
     }
 
     /// Registers the connection of an answer that streams from here.
-    pub fn streams(&self, link: &Link) -> Streams<'_> {
-        Streams(self, lock(&self.streams).insert(link.clone()))
+    pub fn register_stream(&self, link: &Link) -> StreamEntry<'_> {
+        StreamEntry(self, lock(&self.streams).insert(link.clone()))
     }
 
-    fn stands(&self, standing: Standing) {
+    fn set_standing(&self, standing: Standing) {
         self.closed.store(standing != Standing::Running, Ordering::Release);
         // Before the time limits of its streams are shortened: whoever sets a limit checks this flag again
         // afterwards.
-        self.gone.store(standing == Standing::Gone, Ordering::SeqCst);
+        self.removed.store(standing == Standing::Gone, Ordering::SeqCst);
         if standing != Standing::Running {
             self.pool.clear();
         }
         if standing == Standing::Gone {
-            let by = Instant::now() + patience::silent(false, true);
+            let by = Instant::now() + patience::silence_timeout(false, true);
             lock(&self.streams).iter().for_each(|(_, link)| link.read_by_at_most(by));
         }
     }
@@ -81,21 +81,22 @@
     }
 
     /// Records whether it has answered.
-    pub fn answers(&self, it_does: bool) {
-        self.doubted.store(!it_does, Ordering::Relaxed);
+    pub fn set_reachable(&self, reachable: bool) {
+        self.suspected.store(!reachable, Ordering::Relaxed);
     }
 }
 
+/// All endpoints, by the names of their hosts.
 pub struct Hosts {
-    ways: Mutex<BTreeMap<String, Arc<Way>>>,
+    endpoints: Mutex<BTreeMap<String, Arc<Endpoint>>>,
     /// Zones, numbered in the order in which they are first listed.
     zones: Mutex<Names>,
     /// The dispatcher's own zone.
-    here: Option<u32>,
-    chance: Mutex<Pcg32>,
-    idle_for: Duration,
+    own_zone: Option<u32>,
+    rng: Mutex<Pcg32>,
+    idle_timeout: Duration,
     /// Unix time at the start.
-    started: Duration,
+    start_unix: Duration,
 }
 
 /// Unix time by the wall clock, which may be set at any moment.
@@ -105,61 +106,62 @@
 
 /// Limit of idle connections to one host: the most recently used one is taken first, so that the others serve
 /// only bursts.
-const IDLE: usize = 8;
+const MAX_IDLE_LINKS: usize = 8;
 
 impl Hosts {
-    pub fn new(idle_for: Duration, seed: u64, zone: Option<&str>) -> Self {
+    pub fn new(idle_timeout: Duration, seed: u64, zone: Option<&str>) -> Self {
         let mut zones = Names::default();
-        let here = zone.and_then(|zone| zones.enter(zone));
-        let (zones, chance) = (Mutex::new(zones), Mutex::new(Pcg32::seed_from_u64(seed)));
-        Hosts { ways: Mutex::default(), zones, here, chance, idle_for, started: unix_time() }
+        let own_zone = zone.and_then(|zone| zones.enter(zone));
+        let (zones, rng) = (Mutex::new(zones), Mutex::new(Pcg32::seed_from_u64(seed)));
+        Hosts { endpoints: Mutex::default(), zones, own_zone, rng, idle_timeout, start_unix: unix_time() }
     }
 
     fn wall_clock(&self, since_start: Duration) -> WallClock {
-        WallClock { at_start: self.started, now: unix_time(), since_start }
+        WallClock { at_start: self.start_unix, now: unix_time(), since_start }
     }
 
     /// A random number from 0 to 1.
-    pub fn chance(&self) -> f64 {
-        f64::from(lock(&self.chance).next_u32()) / f64::from(u32::MAX)
+    pub fn random_fraction(&self) -> f64 {
+        f64::from(lock(&self.rng).next_u32()) / f64::from(u32::MAX)
     }
 
-    pub fn way(&self, name: &str) -> Option<Arc<Way>> {
-        lock(&self.ways).get(name).cloned()
+    pub fn endpoint(&self, name: &str) -> Option<Arc<Endpoint>> {
+        lock(&self.endpoints).get(name).cloned()
     }
 
     /// The next endpoint to ask for the release of what is held for a request, given the holder and those
     /// that have been asked.
-    pub fn next_asked_to_release(&self, holds: &str, asked: &[Arc<Way>]) -> Option<Arc<Way>> {
-        let open: Vec<Arc<Way>> = lock(&self.ways).values().filter(|way| way.open()).cloned().collect();
-        let about = |way: &Arc<Way>| release::Server {
-            zone: way.zone,
-            near: Some(way.zone) == self.here,
-            doubted: way.doubted.load(Ordering::Relaxed),
-            ready: way.pool.any(),
-            tried: asked.iter().filter(|before| before.name == way.name).count() as u32,
+    pub fn next_to_ask(&self, holder: &str, asked: &[Arc<Endpoint>]) -> Option<Arc<Endpoint>> {
+        let open: Vec<Arc<Endpoint>> =
+            lock(&self.endpoints).values().filter(|endpoint| endpoint.is_open()).cloned().collect();
+        let candidate = |endpoint: &Arc<Endpoint>| release::Candidate {
+            zone: endpoint.zone,
+            in_own_zone: Some(endpoint.zone) == self.own_zone,
+            suspected: endpoint.suspected.load(Ordering::Relaxed),
+            connected: endpoint.pool.any(),
+            attempts: asked.iter().filter(|before| before.name == endpoint.name).count() as u32,
         };
-        let hosts: Vec<release::Server> = open.iter().map(about).collect();
-        let at = open.iter().position(|way| way.name == holds);
-        let mut chance = lock(&self.chance);
-        release::next(&hosts, at, || chance.next_u32()).map(|at| open[at].clone())
+        let candidates: Vec<release::Candidate> = open.iter().map(candidate).collect();
+        let held_at = open.iter().position(|endpoint| endpoint.name == holder);
+        let mut rng = lock(&self.rng);
+        release::next_server(&candidates, held_at, || rng.next_u32()).map(|index| open[index].clone())
     }
 
     /// Closes idle connections that are too old.
-    pub fn trim(&self) {
-        let ways: Vec<Arc<Way>> = lock(&self.ways).values().cloned().collect();
-        ways.iter().for_each(|way| way.pool.trim());
+    pub fn trim_idle(&self) {
+        let endpoints: Vec<Arc<Endpoint>> = lock(&self.endpoints).values().cloned().collect();
+        endpoints.iter().for_each(|endpoint| endpoint.pool.trim());
     }
 
     /// Closes all idle connections.
-    pub fn clear(&self) {
-        lock(&self.ways).values().for_each(|way| way.pool.clear());
+    pub fn close_idle(&self) {
+        lock(&self.endpoints).values().for_each(|endpoint| endpoint.pool.clear());
     }
 
     /// Returns a connection to the pool if the socket budget allows it.
-    pub fn keep(&self, shared: &Shared, way: &Way, link: Link) {
-        if way.open() && shared.room.keeps(tulipstall_net::sockets_held()) {
-            way.pool.put(link);
+    pub fn pool_link(&self, shared: &Shared, endpoint: &Endpoint, link: Link) {
+        if endpoint.is_open() && shared.socket_budget.may_pool(tulipstall_net::sockets_held()) {
+            endpoint.pool.put(link);
         }
     }
 
@@ -168,50 +170,54 @@
         let (now, wall) = (shared.now(), self.wall_clock(shared.now()));
         let mut rows = Vec::with_capacity(list.hosts.len());
         {
-            let (mut ways, mut zones) = (lock(&self.ways), lock(&self.zones));
+            let (mut endpoints, mut zones) = (lock(&self.endpoints), lock(&self.zones));
             if whole {
-                let listed: std::collections::BTreeSet<&str> =
+                let listed_names: std::collections::BTreeSet<&str> =
                     list.hosts.iter().map(|line| line.host.as_str()).collect();
-                ways.retain(|name, way| {
-                    let stays = listed.contains(name.as_str());
+                endpoints.retain(|name, endpoint| {
+                    let stays = listed_names.contains(name.as_str());
                     if !stays {
-                        way.stands(Standing::Gone);
+                        endpoint.set_standing(Standing::Gone);
                     }
                     stays
                 });
             }
             for line in &list.hosts {
-                let same = |way: &Arc<Way>| way.address() == line.dial && way.born_ms == line.born_ms;
-                let way = match ways.get(&line.host).filter(|way| same(way)) {
-                    Some(way) => way.clone(),
-                    None => Arc::new(Way {
+                let same = |endpoint: &Arc<Endpoint>| {
+                    endpoint.address() == line.dial && endpoint.started_ms == line.born_ms
+                };
+                let endpoint = match endpoints.get(&line.host).filter(|endpoint| same(endpoint)) {
+                    Some(endpoint) => endpoint.clone(),
+                    None => Arc::new(Endpoint {
                         name: line.host.clone(),
-                        pool: Pool::new(line.dial, IDLE, self.idle_for),
-                        born_ms: line.born_ms,
-                        age: line.born().map(|born| Age { first: wall.age(born), listed: now }),
+                        pool: Pool::new(line.dial, MAX_IDLE_LINKS, self.idle_timeout),
+                        started_ms: line.born_ms,
+                        age: line
+                            .started_unix()
+                            .map(|started| Age { at_listing: wall.age(started), listed_at: now }),
                         closed: AtomicBool::new(false),
-                        gone: AtomicBool::new(false),
-                        out: AtomicUsize::new(0),
+                        removed: AtomicBool::new(false),
+                        in_flight: AtomicUsize::new(0),
                         // Beyond the limit of zone names all further zones share one number.
                         zone: zones.enter(&line.site).unwrap_or(u32::MAX),
-                        doubted: AtomicBool::new(false),
+                        suspected: AtomicBool::new(false),
                         streams: Mutex::default(),
                     }),
                 };
-                way.stands(line.standing());
-                rows.push(line.row(way.age.map(|age| age.at(now))));
+                endpoint.set_standing(line.standing());
+                rows.push(line.to_row(endpoint.age.map(|age| age.at(now))));
                 let before = if line.standing() == Standing::Gone {
-                    ways.remove(&line.host)
+                    endpoints.remove(&line.host)
                 } else {
-                    ways.insert(line.host.clone(), way.clone())
+                    endpoints.insert(line.host.clone(), endpoint.clone())
                 };
                 // Another process than before: a request written to the old one's connections would be lost.
-                if let Some(before) = before.filter(|before| !Arc::ptr_eq(before, &way)) {
-                    before.stands(Standing::Gone);
+                if let Some(before) = before.filter(|before| !Arc::ptr_eq(before, &endpoint)) {
+                    before.set_standing(Standing::Gone);
                 }
             }
         }
         tracing::info!(seq = list.seq, whole, hosts = list.hosts.len(), "list taken");
-        shared.posts.post(Post::Told(Input::Listed { whole, rows }));
+        shared.owner_queue.send(OwnerMessage::Input(Input::Listed { whole, rows }));
     }
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -4,9 +4,9 @@
 use crate::Shared;
 use crate::attempt::Attempt;
 use crate::front::Message;
-use crate::hosts::Way;
+use crate::hosts::Endpoint;
 use crate::release::{Held, Release};
-use crate::task::{Out, Task};
+use crate::task::{ShotHandle, Task};
 use may::sync::mpsc::Receiver;
 use std::io;
 use std::sync::Arc;
@@ -17,148 +17,160 @@
 use tulipstall_core::{Core, Errand, Input, Output, TaskId};
 use tulipstall_net::spawn;
 
-pub enum Post {
-    Arrive(Arc<Task>),
-    Gone(Arc<Task>),
+/// Messages to the owner of the decisions.
+pub enum OwnerMessage {
+    TaskArrived(Arc<Task>),
+    ClientGone(Arc<Task>),
     /// An input for the decisions, passed on unchanged.
-    Told(Input),
+    Input(Input),
 }
 
-pub fn start(shared: Arc<Shared>, posts: Receiver<Post>, core: Core) -> io::Result<JoinHandle<()>> {
+pub fn start(
+    shared: Arc<Shared>,
+    messages: Receiver<OwnerMessage>,
+    core: Core,
+) -> io::Result<JoinHandle<()>> {
     let mut owner = Owner {
         shared,
         core,
         tasks: Vec::new(),
-        ways: Vec::new(),
-        out: Vec::new(),
-        compared: Duration::ZERO,
+        endpoints: Vec::new(),
+        outputs: Vec::new(),
+        beliefs_logged_at: Duration::ZERO,
     };
     // A thread: its waits have time-outs, which are not sound in coroutines (docs/coroutines.md).
-    std::thread::Builder::new().name("owner".into()).spawn(move || owner.run(&posts))
+    std::thread::Builder::new().name("owner".into()).spawn(move || owner.run(&messages))
 }
 
+/// A task that the core tracks, with the handles of its shots.
 struct InHand {
     id: TaskId,
     task: Arc<Task>,
-    shots: Vec<Arc<Out>>,
+    shots: Vec<Arc<ShotHandle>>,
 }
 
 struct Owner {
     shared: Arc<Shared>,
     core: Core,
     tasks: Vec<Option<InHand>>,
-    ways: Vec<Option<Arc<Way>>>,
-    out: Vec<Output>,
+    endpoints: Vec<Option<Arc<Endpoint>>>,
+    outputs: Vec<Output>,
     /// When the beliefs were last logged.
-    compared: Duration,
+    beliefs_logged_at: Duration,
 }
 
 /// Interval between log lines of the beliefs.
-const COMPARE: Duration = Duration::from_secs(1);
+const BELIEF_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Owner {
-    fn run(&mut self, posts: &Receiver<Post>) {
+    fn run(&mut self, messages: &Receiver<OwnerMessage>) {
         loop {
             let now = self.shared.now();
             // An hour: no timer is set, so any wait will do.
             let wait = self.core.next_timer().map_or(Duration::from_secs(3600), |at| at.saturating_sub(now));
-            let post = if wait.is_zero() { posts.try_recv().ok() } else { posts.recv_timeout(wait).ok() };
-            if post.is_some() {
-                self.shared.posts.room.post();
+            let message =
+                if wait.is_zero() { messages.try_recv().ok() } else { messages.recv_timeout(wait).ok() };
+            if message.is_some() {
+                self.shared.owner_queue.free_slots.post();
             }
-            let mut out = std::mem::take(&mut self.out);
-            self.decide(self.shared.now(), post, &mut out);
-            for output in out.drain(..) {
+            let mut outputs = std::mem::take(&mut self.outputs);
+            self.decide(self.shared.now(), message, &mut outputs);
+            for output in outputs.drain(..) {
                 self.carry_out(output);
             }
             self.core.carried_out();
-            self.compare();
-            self.out = out;
+            self.log_beliefs();
+            self.outputs = outputs;
         }
     }
 
     /// Logs what the decisions believe of each host, next to the attempts that are in flight on its sockets,
     /// if debug lines are enabled.
-    fn compare(&mut self) {
+    fn log_beliefs(&mut self) {
         let now = self.shared.now();
-        if now < self.compared + COMPARE || !tracing::enabled!(tracing::Level::DEBUG) {
+        if now < self.beliefs_logged_at + BELIEF_LOG_INTERVAL || !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
-        self.compared = now;
+        self.beliefs_logged_at = now;
         for (host, belief) in self.core.beliefs(now) {
-            let Some(Some(way)) = self.ways.get(host as usize) else { continue };
-            let (name, out) = (&way.name, way.out.load(Ordering::Relaxed));
+            let Some(Some(endpoint)) = self.endpoints.get(host as usize) else { continue };
+            let (name, out) = (&endpoint.name, endpoint.in_flight.load(Ordering::Relaxed));
             let Belief { shots, reading, writing, doubt, slow } = belief;
-            let zone = way.zone;
+            let zone = endpoint.zone;
             tracing::debug!(host = name, zone, shots, out, reading, writing, doubt, slow, "beliefs");
         }
     }
 
-    fn decide(&mut self, now: Duration, post: Option<Post>, out: &mut Vec<Output>) {
-        let input = match post {
+    fn decide(&mut self, now: Duration, message: Option<OwnerMessage>, outputs: &mut Vec<Output>) {
+        let input = match message {
             None => Input::Tick,
-            Some(Post::Arrive(task)) => return self.arrive(now, task, out),
-            Some(Post::Gone(task)) => match task.place() {
+            Some(OwnerMessage::TaskArrived(task)) => return self.arrive(now, task, outputs),
+            Some(OwnerMessage::ClientGone(task)) => match task.id() {
                 Some(id) => Input::Gone { task: id },
                 None => return,
             },
-            Some(Post::Told(input)) => input,
+            Some(OwnerMessage::Input(input)) => input,
         };
-        self.core.on(now, input, out);
+        self.core.on(now, input, outputs);
     }
 
-    fn arrive(&mut self, now: Duration, task: Arc<Task>, out: &mut Vec<Output>) {
-        self.core.on(now, Input::Tick, out);
+    fn arrive(&mut self, now: Duration, task: Arc<Task>, outputs: &mut Vec<Output>) {
+        self.core.on(now, Input::Tick, outputs);
         let id = self.core.enter();
-        task.set_place(id);
-        let place = id.place as usize;
-        self.tasks.resize_with(self.tasks.len().max(place + 1), || None);
-        self.tasks[place] = Some(InHand { id, task: task.clone(), shots: Vec::new() });
-        self.core.arrive(now, id, &task.ask, out);
+        task.set_id(id);
+        let slot = id.place as usize;
+        self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
+        self.tasks[slot] = Some(InHand { id, task: task.clone(), shots: Vec::new() });
+        self.core.arrive(now, id, &task.ask, outputs);
     }
 
-    fn held(&mut self, id: TaskId) -> Option<&mut InHand> {
-        self.tasks.get_mut(id.place as usize)?.as_mut().filter(|held| held.id == id)
+    fn task_in_hand(&mut self, id: TaskId) -> Option<&mut InHand> {
+        self.tasks.get_mut(id.place as usize)?.as_mut().filter(|in_hand| in_hand.id == id)
     }
 
     /// The endpoint of a host, by its index.
-    fn way(&mut self, host: u32) -> Option<Arc<Way>> {
-        let at = host as usize;
-        self.ways.resize_with(self.ways.len().max(at + 1), || None);
+    fn endpoint(&mut self, host: u32) -> Option<Arc<Endpoint>> {
+        let index = host as usize;
+        self.endpoints.resize_with(self.endpoints.len().max(index + 1), || None);
         let name = self.core.host_name(host);
         // A host that returned at another address has another endpoint, and an index may have been reused.
-        if self.ways[at].as_ref().is_none_or(|way| !way.open() || Some(way.name.as_str()) != name) {
-            self.ways[at] = name.and_then(|name| self.shared.hosts.way(name));
+        if self.endpoints[index]
+            .as_ref()
+            .is_none_or(|endpoint| !endpoint.is_open() || Some(endpoint.name.as_str()) != name)
+        {
+            self.endpoints[index] = name.and_then(|name| self.shared.hosts.endpoint(name));
         }
-        self.ways[at].clone()
+        self.endpoints[index].clone()
     }
 
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Send { task, shot, host, errand, until, begin_by, .. } => {
-                let way = self.way(host);
+                let endpoint = self.endpoint(host);
                 let shared = self.shared.clone();
-                let Some(in_hand) = self.held(task) else { return };
-                let out = Arc::new(Out::default());
-                in_hand.shots.push(out.clone());
-                let (about, reads) = (in_hand.task.clone(), errand == Errand::Read);
+                let Some(in_hand) = self.task_in_hand(task) else { return };
+                let handle = Arc::new(ShotHandle::default());
+                in_hand.shots.push(handle.clone());
+                let (shot_task, reads) = (in_hand.task.clone(), errand == Errand::Read);
                 let (until, begin_by) = (shared.start + until, shared.start + begin_by);
                 let attempt = Attempt {
                     shared,
                     id: task,
-                    task: about,
+                    task: shot_task,
                     number: shot,
                     host,
                     reads,
-                    out,
+                    handle,
                     until,
                     begin_by,
                 };
-                spawn(move || attempt.run(way));
+                spawn(move || attempt.run(endpoint));
             }
             Output::Cancel { task, shot } => {
-                if let Some(out) = self.held(task).and_then(|held| held.shots.get(shot as usize)) {
-                    out.cancel();
+                if let Some(handle) =
+                    self.task_in_hand(task).and_then(|in_hand| in_hand.shots.get(shot as usize))
+                {
+                    handle.cancel();
                 }
             }
             // A state has the id of its task.
@@ -169,18 +181,18 @@
                 spawn(move || release.run());
             }
             Output::Bounce { task, come_back } => {
-                let Some(held) = self.held(task) else { return };
-                if held.task.close() {
-                    let _ = held.task.inbox.send(Message::Bounced { id: task, come_back });
+                let Some(in_hand) = self.task_in_hand(task) else { return };
+                if in_hand.task.close() {
+                    let _ = in_hand.task.inbox.send(Message::Bounced { id: task, retry_after: come_back });
                 }
             }
             Output::BreakOff { task } => {
-                let Some(held) = self.held(task) else { return };
-                if held.task.close() {
-                    let (id, attempts) = (&held.task.call.id, held.shots.len());
-                    let ms = held.task.arrived.elapsed().as_millis() as u64;
+                let Some(in_hand) = self.task_in_hand(task) else { return };
+                if in_hand.task.close() {
+                    let (id, attempts) = (&in_hand.task.call.id, in_hand.shots.len());
+                    let ms = in_hand.task.arrived.elapsed().as_millis() as u64;
                     tracing::info!(id, attempts, ms, "broken off: an attempt may have run");
-                    let _ = held.task.inbox.send(Message::BrokenOff { id: task });
+                    let _ = in_hand.task.inbox.send(Message::BrokenOff { id: task });
                 }
             }
             Output::Ran { .. } => {}
@@ -188,7 +200,7 @@
                 tracing::info!(host = self.core.host_name(host).unwrap_or("a host"), "{what}");
             }
             Output::Forget { task } => {
-                if self.held(task).is_some() {
+                if self.task_in_hand(task).is_some() {
                     self.tasks[task.place as usize] = None;
                     self.shared.unsettled.fetch_sub(1, Ordering::SeqCst);
                 }
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -10,57 +10,59 @@
 use tulipstall::interface::Standing;
 use tulipstall_http1::Limits;
 use tulipstall_net::{Fault, Link, Reply, spawn};
-use tulipstall_platform::registry::{LIST_BYTES, Line, List, Patience, Versions, question, read};
+use tulipstall_platform::registry::{
+    Line, List, MAX_LIST_BYTES, RegistryTimeouts, VersionFilter, list_request, parse,
+};
 
-const ANSWER: Limits = Limits { head: 8192, line: 4096, headers: 64, body: LIST_BYTES };
+const LIST_LIMITS: Limits = Limits { head: 8192, line: 4096, headers: 64, body: MAX_LIST_BYTES };
 
 /// State that outlives one connection.
 #[derive(Default)]
-struct Seen {
+struct FollowState {
     /// The last try failed.
-    silent: bool,
-    versions: Versions,
+    failing: bool,
+    versions: VersionFilter,
     /// The version that the known hosts are as of, if it is one of this registry.
-    seq: Option<u64>,
+    list_seq: Option<u64>,
     /// Consecutive requests that were rejected, and first requests of a watch that timed out.
-    refused: u32,
-    unheard: u32,
+    rejections: u32,
+    first_timeouts: u32,
 }
 
 /// Why a request to the registry failed.
-enum Failed {
+enum RequestError {
     Fault(Fault),
     /// It is overloaded: it answers a later request.
-    Refused,
+    Rejected,
 }
 
-impl From<Fault> for Failed {
+impl From<Fault> for RequestError {
     fn from(fault: Fault) -> Self {
-        Failed::Fault(fault)
+        RequestError::Fault(fault)
     }
 }
 
 /// Starts following the registry, from the version of a cached list if there is one.
-pub fn start(shared: Arc<Shared>, patience: Patience, known: Option<u64>) {
+pub fn start(shared: Arc<Shared>, timeouts: RegistryTimeouts, known: Option<u64>) {
     spawn(move || {
-        let mut known = Seen { seq: known, ..Seen::default() };
+        let mut state = FollowState { list_seq: known, ..FollowState::default() };
         loop {
             let address = lock(&shared.registry).0;
             // Even if a list makes its processing panic, the next one is requested.
-            let followed = AssertUnwindSafe(|| follow(&shared, address, &patience, &mut known));
-            let followed = catch_unwind(followed).unwrap_or(Err(Failed::Fault(Fault::Rubbish)));
-            let mut pause = patience.pause;
-            if let Err(failed) = followed {
-                let why = match failed {
-                    Failed::Fault(fault) => format!("{fault:?}"),
-                    Failed::Refused => "request rejected".to_owned(),
+            let followed = AssertUnwindSafe(|| follow(&shared, address, &timeouts, &mut state));
+            let followed = catch_unwind(followed).unwrap_or(Err(RequestError::Fault(Fault::Rubbish)));
+            let mut pause = timeouts.retry_pause;
+            if let Err(error) = followed {
+                let why = match error {
+                    RequestError::Fault(fault) => format!("{fault:?}"),
+                    RequestError::Rejected => "request rejected".to_owned(),
                 };
-                if matches!(failed, Failed::Refused) {
-                    pause = patience.after_refusal(known.refused, shared.hosts.chance());
-                    known.refused += 1;
+                if matches!(error, RequestError::Rejected) {
+                    pause = timeouts.pause_after_rejections(state.rejections, shared.hosts.random_fraction());
+                    state.rejections += 1;
                 }
                 // There may be many failures a second while the registry is away: only the first is logged.
-                if !std::mem::replace(&mut known.silent, true) {
+                if !std::mem::replace(&mut state.failing, true) {
                     tracing::warn!(registry = %address, why, "the registry does not answer");
                 }
             }
@@ -69,14 +71,14 @@
             }
             if lock(&shared.registry).0 != address {
                 // Another registry numbers its versions independently.
-                known = Seen { silent: known.silent, ..Seen::default() };
+                state = FollowState { failing: state.failing, ..FollowState::default() };
             }
         }
     });
 }
 
-/// The registry has moved to another address.
-pub fn moved(shared: &Shared, address: SocketAddr) {
+/// Sets the registry's address, and closes the connection to a previous one.
+pub fn set_address(shared: &Shared, address: SocketAddr) {
     let mut registry = lock(&shared.registry);
     if registry.0 != address
         && let Some(link) = registry.1.take()
@@ -86,20 +88,25 @@
     registry.0 = address;
 }
 
-/// Sends one request. `within` limits the time to the start of the answer, `whole` that of the rest.
-fn ask(link: &mut Option<Link>, question: &str, within: Duration, whole: Duration) -> Result<List, Failed> {
-    let (link_now, until) = (link.take().ok_or(Fault::Broken)?, Instant::now() + within);
-    link_now.write(question.as_bytes(), until)?;
-    let mut reply = Reply::new(link_now, ANSWER);
-    let head = reply.head_begun(until, whole)?;
+/// Sends one request. `within` limits the time to the start of the answer, `rest` that of the rest.
+fn send_request(
+    link: &mut Option<Link>,
+    request: &str,
+    within: Duration,
+    rest: Duration,
+) -> Result<List, RequestError> {
+    let (open_link, until) = (link.take().ok_or(Fault::Broken)?, Instant::now() + within);
+    open_link.write(request.as_bytes(), until)?;
+    let mut reply = Reply::new(open_link, LIST_LIMITS);
+    let head = reply.head_begun(until, rest)?;
     if matches!(head.status, 429 | 503) {
-        return Err(Failed::Refused);
+        return Err(RequestError::Rejected);
     }
-    let body = reply.whole_body(Instant::now() + whole)?;
+    let body = reply.whole_body(Instant::now() + rest)?;
     if head.status != 200 {
         return Err(Fault::Rubbish.into());
     }
-    let list = read(&body).map_err(|why| {
+    let list = parse(&body).map_err(|why| {
         tracing::warn!(why, "malformed list ignored");
         Fault::Rubbish
     })?;
@@ -110,13 +117,18 @@
 }
 
 /// Follows the registry until a request fails or the registry has moved.
-fn follow(shared: &Shared, address: SocketAddr, patience: &Patience, known: &mut Seen) -> Result<(), Failed> {
+fn follow(
+    shared: &Shared,
+    address: SocketAddr,
+    timeouts: &RegistryTimeouts,
+    state: &mut FollowState,
+) -> Result<(), RequestError> {
     let mut link = None;
-    let mut seen = None;
-    let first = Instant::now() + patience.after_silence(known.unheard);
+    let mut watched_seq = None;
+    let first_until = Instant::now() + timeouts.answer_start_after_timeouts(state.first_timeouts);
     loop {
         if link.is_none() {
-            let new = Link::connect(&address, shared.connect.min(patience.at_once))?;
+            let new = Link::connect(&address, shared.connect_timeout.min(timeouts.answer_start))?;
             let mut registry = lock(&shared.registry);
             if registry.0 != address {
                 return Ok(());
@@ -125,26 +137,28 @@
             link = Some(new);
         }
         // After a failure the whole list is requested, or only the changes where the whole list is expensive.
-        let resumes = patience.resumes.zip(known.seq).map(|(wait, seq)| (seq, wait));
-        let at_once = first.saturating_duration_since(Instant::now());
-        let (newer_than, within) = match seen {
-            None => (resumes, at_once + resumes.map_or(Duration::ZERO, |(_, wait)| wait)),
-            Some(seq) => (Some((seq, patience.wait)), patience.wait + patience.late),
-        };
-        let list = match ask(&mut link, &question(address, newer_than), within, patience.whole) {
-            Ok(list) => list,
-            Err(_) if lock(&shared.registry).0 != address => return Ok(()),
-            Err(failed) => {
-                known.unheard +=
-                    u32::from(seen.is_none() && matches!(failed, Failed::Fault(Fault::TimedOut)));
-                return Err(failed);
-            }
+        let resume_from = timeouts.resume_wait.zip(state.list_seq).map(|(wait, seq)| (seq, wait));
+        let first_time_left = first_until.saturating_duration_since(Instant::now());
+        let (newer_than, within) = match watched_seq {
+            None => (resume_from, first_time_left + resume_from.map_or(Duration::ZERO, |(_, wait)| wait)),
+            Some(seq) => (Some((seq, timeouts.watch_wait)), timeouts.watch_wait + timeouts.watch_slack),
         };
+        let list =
+            match send_request(&mut link, &list_request(address, newer_than), within, timeouts.answer_rest) {
+                Ok(list) => list,
+                Err(_) if lock(&shared.registry).0 != address => return Ok(()),
+                Err(error) => {
+                    state.first_timeouts += u32::from(
+                        watched_seq.is_none() && matches!(error, RequestError::Fault(Fault::TimedOut)),
+                    );
+                    return Err(error);
+                }
+            };
         // Changes since one version do not apply to any other: the whole list is requested next, unless this
         // one is applied.
         let as_of = newer_than.map(|(seq, _)| seq);
-        known.seq = None;
-        if !known.versions.takes(shared.now(), list.seq) {
+        state.list_seq = None;
+        if !state.versions.accepts(shared.now(), list.seq) {
             tracing::warn!(
                 seq = list.seq,
                 "list older than a previous one: only its closed hosts are applied"
@@ -158,7 +172,7 @@
             // The registry has restarted: changes since then do not apply to the list from before.
             return Err(Fault::Rubbish.into());
         }
-        if std::mem::take(&mut known.silent) {
+        if std::mem::take(&mut state.failing) {
             tracing::info!(registry = %address, "the registry answers again");
         }
         let whole = list.whole || as_of.is_none();
@@ -166,8 +180,8 @@
         if whole || !list.hosts.is_empty() {
             shared.hosts.apply(shared, &list, whole);
         }
-        (seen, known.seq) = (Some(list.seq), Some(list.seq));
-        (known.refused, known.unheard) = (0, 0);
-        shared.listed.store(true, Ordering::Release);
+        (watched_seq, state.list_seq) = (Some(list.seq), Some(list.seq));
+        (state.rejections, state.first_timeouts) = (0, 0);
+        shared.list_received.store(true, Ordering::Release);
     }
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -2,7 +2,7 @@
 //! slows down its own host and no other.
 
 use crate::Shared;
-use crate::attempt::{Begun, give_back};
+use crate::attempt::{BegunStream, return_to_pool};
 use crate::front::Client;
 use std::time::Instant;
 use tulipstall::interface::Outcome;
@@ -11,55 +11,57 @@
 use tulipstall_net::Fault;
 use tulipstall_platform::patience;
 
-const HEAD: &[u8] =
+const STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Relays a stream; returns the name of the result, and whether the stream was complete and the client's
 /// connection can be used again.
-pub fn relay(shared: &Shared, client: &Client, mut begun: Begun) -> (&'static str, bool) {
-    let mut out = Vec::with_capacity(begun.bytes.len() + 256);
-    out.extend_from_slice(HEAD);
-    let (mut bytes, mut got) = (std::mem::take(&mut begun.bytes), Vec::new());
-    let mut last = Instant::now();
-    client.streams(Some(&begun.reply.link));
-    let way = begun.way.clone();
-    let _streams = way.streams(&begun.reply.link);
-    let (outcome, said) = loop {
-        write_chunk(&bytes, &mut out);
-        if begun.ended && begun.events.whole() {
-            out.extend_from_slice(LAST_CHUNK);
+pub fn relay(shared: &Shared, client: &Client, mut begun: BegunStream) -> (&'static str, bool) {
+    let mut output = Vec::with_capacity(begun.bytes.len() + 256);
+    output.extend_from_slice(STREAM_HEAD);
+    let (mut bytes, mut received) = (std::mem::take(&mut begun.bytes), Vec::new());
+    let mut last_read = Instant::now();
+    client.set_stream_host(Some(&begun.reply.link));
+    let endpoint = begun.endpoint.clone();
+    let _stream_entry = endpoint.register_stream(&begun.reply.link);
+    let (outcome, result) = loop {
+        write_chunk(&bytes, &mut output);
+        if begun.ended && begun.events.is_complete() {
+            output.extend_from_slice(LAST_CHUNK);
         }
-        if !out.is_empty() && client.write(&out).is_err() {
+        if !output.is_empty() && client.write(&output).is_err() {
             // The host is not at fault.
             break (Outcome::Cancelled, "client left");
         }
         if begun.ended {
-            let whole = begun.events.whole();
+            let whole = begun.events.is_complete();
             break if whole { (Outcome::Delivered, "delivered") } else { (Outcome::Broken, "cut short") };
         }
-        out.clear();
+        output.clear();
         bytes.clear();
-        got.clear();
-        let (done, way) = (begun.events.done, &begun.way);
-        match begun.reply.body_while(&mut got, &|| last + patience::silent(done, way.gone())) {
+        received.clear();
+        let (end_marker_seen, endpoint) = (begun.events.end_marker_seen, &begun.endpoint);
+        match begun.reply.body_while(&mut received, &|| {
+            last_read + patience::silence_timeout(end_marker_seen, endpoint.is_removed())
+        }) {
             Ok(ended) => begun.ended = ended,
-            Err(_) if client.left() => break (Outcome::Cancelled, "client left"),
+            Err(_) if client.has_left() => break (Outcome::Cancelled, "client left"),
             Err(Fault::TimedOut) => break (Outcome::Broken, "silent"),
             Err(Fault::Rubbish) => break (Outcome::Spoilt, "spoilt"),
             Err(_) => break (Outcome::Broken, "broken"),
         }
-        last = Instant::now();
-        if begun.events.take(&got, &mut bytes).is_err() {
+        last_read = Instant::now();
+        if begun.events.feed(&received, &mut bytes).is_err() {
             break (Outcome::Spoilt, "spoilt");
         }
     };
-    client.streams(None);
+    client.set_stream_host(None);
     let whole = outcome == Outcome::Delivered;
     if whole {
-        give_back(shared, &begun.way, begun.reply);
+        return_to_pool(shared, &begun.endpoint, begun.reply);
     } else {
         begun.reply.link.shut();
     }
-    begun.attempt.close(outcome, End::default());
-    (said, whole)
+    begun.reporter.close(outcome, End::default());
+    (result, whole)
 }
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -1,14 +1,14 @@
 //! Asks servers to release what they hold for a request, until one has answered.
 
-use crate::attempt::give_back;
-use crate::hosts::Way;
+use crate::attempt::return_to_pool;
+use crate::hosts::Endpoint;
 use crate::{Shared, lock};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tulipstall::interface::ReleaseReason;
 use tulipstall_net::{Fault, Reply, sockets_held, spawn};
-use tulipstall_platform::host::{self, ANSWER};
+use tulipstall_platform::host::{self, ANSWER_LIMITS};
 use tulipstall_platform::release::{self, Wave};
 
 /// What is released: the state of one request.
@@ -36,7 +36,7 @@
 }
 
 /// How often the results of a wave are polled: a tenth of a wave at the usual release time of one second.
-const LOOKS: Duration = Duration::from_millis(5);
+const ANSWER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Release {
     pub fn new(shared: Arc<Shared>, held: Held, reason: ReleaseReason) -> Self {
@@ -50,12 +50,14 @@
     }
 
     pub fn run(self) {
-        let from = Instant::now();
+        let started = Instant::now();
         self.ask_in_waves();
         if !self.held.sure {
             // The read may have ended well after the first release, where its server could not notice that
             // nobody waits any more.
-            tulipstall_net::sleep(release::once_more(self.shared.release).saturating_sub(from.elapsed()));
+            tulipstall_net::sleep(
+                release::repeat_delay(self.shared.release_time).saturating_sub(started.elapsed()),
+            );
             self.ask_in_waves();
         }
     }
@@ -64,52 +66,52 @@
     fn ask_in_waves(&self) {
         let counts = &self.shared.releases;
         counts.owed.fetch_add(1, Ordering::Relaxed);
-        let from = Instant::now();
+        let started = Instant::now();
         let calls =
             Calls { is_answered: AtomicBool::new(false), last_fault: Mutex::new(Fault::NoConnection) };
         let calls = Arc::new(calls);
-        let mut asked: Vec<Arc<Way>> = Vec::new();
+        let mut asked: Vec<Arc<Endpoint>> = Vec::new();
         let mut number = 0;
-        while let Some(wave) = release::wave(number, self.shared.release) {
+        while let Some(wave) = release::wave(number, self.shared.release_time) {
             self.send(wave, number, &mut asked, &calls);
-            if calls.is_answered_within(wave.lasts) {
-                return self.note_done(from);
+            if calls.is_answered_within(wave.answer_wait) {
+                return self.note_done(started);
             }
             number += 1;
         }
         counts.abandoned.fetch_add(1, Ordering::Relaxed);
         let Held { id, server, .. } = &*self.held;
         let (calls_sent, why) = (asked.len(), *lock(&calls.last_fault));
-        let ms = from.elapsed().as_millis() as u64;
+        let ms = started.elapsed().as_millis() as u64;
         tracing::warn!(id, server, calls_sent, ms, ?why, "a held state could not be released");
     }
 
     /// Sends one wave of calls: a single call if descriptors are short, and none if no server is listed.
-    fn send(&self, wave: Wave, number: u32, asked: &mut Vec<Arc<Way>>, calls: &Arc<Calls>) {
+    fn send(&self, wave: Wave, number: u32, asked: &mut Vec<Arc<Endpoint>>, calls: &Arc<Calls>) {
         let shared = &self.shared;
         for call in 0..wave.calls {
-            if call > 0 && !shared.room.connects(sockets_held()) {
+            if call > 0 && !shared.socket_budget.may_connect(sockets_held()) {
                 return;
             }
-            let Some(way) = shared.hosts.next_asked_to_release(&self.held.server, asked) else { return };
-            asked.push(way.clone());
+            let Some(endpoint) = shared.hosts.next_to_ask(&self.held.server, asked) else { return };
+            asked.push(endpoint.clone());
             let (shared, held, calls) = (shared.clone(), self.held.clone(), calls.clone());
             let (reason, new) = (self.reason, release::wants_new_connection(number, call));
             spawn(move || {
-                let from = Instant::now();
-                let answer = ask(&shared, &way, &held.id, new);
-                calls.note(&way, answer);
-                let (Held { id, server, sure }, host) = (&*held, &way.name);
-                let ms = from.elapsed().as_millis() as u64;
+                let started = Instant::now();
+                let answer = send_call(&shared, &endpoint, &held.id, new);
+                calls.record(&endpoint, answer);
+                let (Held { id, server, sure }, host) = (&*held, &endpoint.name);
+                let ms = started.elapsed().as_millis() as u64;
                 tracing::debug!(id, server, sure, ?reason, host, number, new, ?answer, ms, "release");
             });
         }
     }
 
-    fn note_done(&self, from: Instant) {
-        let (shared, took) = (&self.shared, from.elapsed());
+    fn note_done(&self, started: Instant) {
+        let (shared, took) = (&self.shared, started.elapsed());
         shared.releases.done.fetch_add(1, Ordering::Relaxed);
-        if took > release::left_after_it_is_owed(shared.release) {
+        if took > release::time_left_when_owed(shared.release_time) {
             shared.releases.late.fetch_add(1, Ordering::Relaxed);
             let Held { id, server, sure } = &*self.held;
             tracing::warn!(id, server, sure, ms = took.as_millis() as u64, "a held state was released late");
@@ -124,9 +126,9 @@
 }
 
 impl Calls {
-    fn note(&self, way: &Way, answer: Result<(), Fault>) {
+    fn record(&self, endpoint: &Endpoint, answer: Result<(), Fault>) {
         if answer != Err(Fault::OwnMachine) {
-            way.answers(answer.is_ok());
+            endpoint.set_reachable(answer.is_ok());
         }
         match answer {
             Ok(()) => self.is_answered.store(true, Ordering::Release),
@@ -145,25 +147,25 @@
             if left.is_zero() {
                 return false;
             }
-            tulipstall_net::sleep(left.min(LOOKS));
+            tulipstall_net::sleep(left.min(ANSWER_POLL_INTERVAL));
         }
     }
 }
 
 /// Sends one call to one server, over a new connection if requested. Only an answer shows that the call has
 /// arrived.
-fn ask(shared: &Shared, way: &Way, id: &str, new: bool) -> Result<(), Fault> {
-    let within = release::within(shared.release);
+fn send_call(shared: &Shared, endpoint: &Endpoint, id: &str, new: bool) -> Result<(), Fault> {
+    let within = release::call_timeout(shared.release_time);
     let until = Instant::now() + within;
-    let link = if new { shared.new_link(way, within)? } else { shared.link(way, within)?.0 };
+    let link = if new { shared.new_link(endpoint, within)? } else { shared.link(endpoint, within)?.0 };
     // Drained or removed meanwhile.
-    if !way.open() {
+    if !endpoint.is_open() {
         return Err(Fault::NoConnection);
     }
-    link.write(host::release(&way.name, id).as_bytes(), until)?;
-    let mut reply = Reply::new(link, ANSWER);
+    link.write(host::release_request(&endpoint.name, id).as_bytes(), until)?;
+    let mut reply = Reply::new(link, ANSWER_LIMITS);
     let head = reply.head(until)?;
     reply.whole_body(until)?;
-    give_back(shared, way, reply);
+    return_to_pool(shared, endpoint, reply);
     if head.status < 300 { Ok(()) } else { Err(Fault::Rubbish) }
 }
--- a/crates/node/src/task.rs
+++ b/crates/node/src/task.rs
@@ -9,18 +9,19 @@
 use std::time::Instant;
 use tulipstall_core::{Ask, TaskId};
 use tulipstall_net::Link;
-use tulipstall_platform::host::Passed;
+use tulipstall_platform::host::ForwardedCall;
 
 /// Not answered yet.
 const OPEN: u32 = 0;
 /// Answered by the owner, by a bounce or a break-off, or the client has disconnected.
 const CLOSED: u32 = 1;
 /// Values from here on name the shot whose answer the client gets.
-const SHOT: u32 = 2;
+const FIRST_SHOT: u32 = 2;
 
+/// One client request inside the dispatcher.
 pub struct Task {
     /// Forwarded unchanged to hosts.
-    pub call: Passed,
+    pub call: ForwardedCall,
     /// The request's body, until an answer has begun.
     body: Mutex<Option<Arc<Vec<u8>>>>,
     pub ask: Ask,
@@ -28,30 +29,30 @@
     /// A weak reference: the connection ends with its coroutines, whatever attempts are still pending.
     client: Weak<Client>,
     pub inbox: Sender<Message>,
-    place: AtomicU64,
+    packed_id: AtomicU64,
     answer: AtomicU32,
 }
 
 impl Task {
     pub fn new(
-        call: Passed,
+        call: ForwardedCall,
         ask: Ask,
         body: Vec<u8>,
         (client, inbox): (Weak<Client>, Sender<Message>),
     ) -> Self {
         let body = Mutex::new(Some(Arc::new(body)));
-        let (place, answer) = (AtomicU64::new(u64::MAX), AtomicU32::new(OPEN));
-        Task { call, body, ask, arrived: Instant::now(), client, inbox, place, answer }
+        let (packed_id, answer) = (AtomicU64::new(u64::MAX), AtomicU32::new(OPEN));
+        Task { call, body, ask, arrived: Instant::now(), client, inbox, packed_id, answer }
     }
 
-    pub fn set_place(&self, id: TaskId) {
-        self.place.store(u64::from(id.place) << 32 | u64::from(id.turn), Ordering::Release);
+    pub fn set_id(&self, id: TaskId) {
+        self.packed_id.store(u64::from(id.place) << 32 | u64::from(id.turn), Ordering::Release);
     }
 
     /// Its id in the core, once it has one.
-    pub fn place(&self) -> Option<TaskId> {
-        let place = self.place.load(Ordering::Acquire);
-        (place != u64::MAX).then_some(TaskId { place: (place >> 32) as u32, turn: place as u32 })
+    pub fn id(&self) -> Option<TaskId> {
+        let packed = self.packed_id.load(Ordering::Acquire);
+        (packed != u64::MAX).then_some(TaskId { place: (packed >> 32) as u32, turn: packed as u32 })
     }
 
     fn settle(&self, answer: u32) -> bool {
@@ -65,17 +66,17 @@
 
     /// Settles the task with this shot's answer; false if it already has another one. The body is freed: no
     /// further host is asked, and a stream lasts far longer than the prompt is needed.
-    pub fn take(&self, shot: u32) -> bool {
-        let taken = self.settle(SHOT + shot);
-        if taken {
+    pub fn claim(&self, shot: u32) -> bool {
+        let claimed = self.settle(FIRST_SHOT + shot);
+        if claimed {
             *lock(&self.body) = None;
         }
-        taken
+        claimed
     }
 
     /// Whether the client has disconnected, according to its connection.
     pub fn client_is_gone(&self) -> bool {
-        self.client.upgrade().is_none_or(|client| client.gone())
+        self.client.upgrade().is_none_or(|client| client.is_gone())
     }
 
     pub fn body(&self) -> Option<Arc<Vec<u8>>> {
@@ -89,12 +90,12 @@
 
 /// A shot that has been sent, as its attempt and the owner share it.
 #[derive(Default)]
-pub struct Out {
+pub struct ShotHandle {
     state: AtomicU8,
     link: Mutex<Option<Link>>,
 }
 
-impl Out {
+impl ShotHandle {
     fn settle(&self, state: u8) -> bool {
         self.state.compare_exchange(PENDING, state, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
@@ -118,7 +119,7 @@
     }
 
     /// Sets the connection that the shot uses, or `None` once it has ended.
-    pub fn hold(&self, link: Option<&Link>) {
+    pub fn set_link(&self, link: Option<&Link>) {
         *lock(&self.link) = link.cloned();
     }
 }
--- a/crates/node/src/task/tests.rs
+++ b/crates/node/src/task/tests.rs
@@ -3,21 +3,21 @@
 
 /// Of two conflicting claims exactly one takes effect; the body is held for as long as hosts may be asked.
 #[test]
-fn one_of_two_that_cross_holds() {
+fn conflicting_claims_exclude_each_other() {
     type Claim = fn(&Task) -> bool;
     let (close, first, second): (Claim, Claim, Claim) =
-        (|task| task.close(), |task| task.take(0), |task| task.take(1));
+        (|task| task.close(), |task| task.claim(0), |task| task.claim(1));
     for (claims, prompt) in
         [([close, first, second], true), ([second, first, close], false), ([first, close, second], false)]
     {
-        let (call, ask) = (Passed::default(), Ask::default());
+        let (call, ask) = (ForwardedCall::default(), Ask::default());
         let task = Task::new(call, ask, vec![1], (Weak::new(), channel().0));
         assert_eq!(claims.map(|claim| claim(&task)), [true, false, false]);
         assert_eq!(task.body().is_some(), prompt);
     }
-    let (begun, called_off) = (Out::default(), Out::default());
+    let (begun, cancelled_shot) = (ShotHandle::default(), ShotHandle::default());
     assert!(begun.begin() && !begun.begin());
     begun.cancel();
-    called_off.cancel();
-    assert!(!begun.cancelled() && called_off.cancelled() && !called_off.begin());
+    cancelled_shot.cancel();
+    assert!(!begun.cancelled() && cancelled_shot.cancelled() && !cancelled_shot.begin());
 }
--- a/crates/platform/src/age.rs
+++ b/crates/platform/src/age.rs
@@ -19,9 +19,9 @@
     /// Age of a process that started at the given Unix time. The clock of this machine or of all machines may
     /// have been set since the dispatcher's start: of the two possible ages the lower one is used, as a
     /// process that is taken for older than it is would get too much load.
-    pub fn age(&self, born: Duration) -> Duration {
-        let unset = self.at_start + self.since_start;
-        unset.saturating_sub(born).min(self.now.saturating_sub(born))
+    pub fn age(&self, started: Duration) -> Duration {
+        let unadjusted = self.at_start + self.since_start;
+        unadjusted.saturating_sub(started).min(self.now.saturating_sub(started))
     }
 }
 
@@ -29,14 +29,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Age {
     /// Its age at that time.
-    pub first: Duration,
+    pub at_listing: Duration,
     /// Time of listing, since the dispatcher's start.
-    pub listed: Duration,
+    pub listed_at: Duration,
 }
 
 impl Age {
     /// Its age at a later time, measured since the dispatcher's start by the monotonic clock.
     pub fn at(&self, since_start: Duration) -> Duration {
-        self.first + since_start.saturating_sub(self.listed)
+        self.at_listing + since_start.saturating_sub(self.listed_at)
     }
 }
--- a/crates/platform/src/ids.rs
+++ b/crates/platform/src/ids.rs
@@ -5,32 +5,35 @@
 use std::time::Duration;
 
 /// Limit for ids of ended requests, far above what a dispatcher completes within the retention time.
-const MOST: usize = 8192;
+const MAX_ENDED_IDS: usize = 8192;
 
-pub struct Ids {
-    taken: HashSet<String>,
+/// The reserved ids.
+pub struct RequestIds {
+    reserved: HashSet<String>,
     ended: VecDeque<(Duration, String)>,
-    keeps: Duration,
+    retention: Duration,
 }
 
-impl Ids {
+impl RequestIds {
     /// Ids of ended requests stay reserved for `retention`.
-    pub fn new(keeps: Duration) -> Self {
-        Ids { taken: HashSet::new(), ended: VecDeque::new(), keeps }
+    pub fn new(retention: Duration) -> Self {
+        RequestIds { reserved: HashSet::new(), ended: VecDeque::new(), retention }
     }
 
     /// Reserves an id; false if it is already reserved.
-    pub fn take(&mut self, now: Duration, id: &str) -> bool {
-        while self.ended.len() > MOST || self.ended.front().is_some_and(|(at, _)| *at + self.keeps <= now) {
+    pub fn reserve(&mut self, now: Duration, id: &str) -> bool {
+        while self.ended.len() > MAX_ENDED_IDS
+            || self.ended.front().is_some_and(|(at, _)| *at + self.retention <= now)
+        {
             if let Some((_, id)) = self.ended.pop_front() {
-                self.taken.remove(&id);
+                self.reserved.remove(&id);
             }
         }
-        !self.taken.contains(id) && self.taken.insert(id.to_owned())
+        !self.reserved.contains(id) && self.reserved.insert(id.to_owned())
     }
 
     /// Its request has been answered, or its client has disconnected: the retention time begins.
-    pub fn ends(&mut self, now: Duration, id: String) {
+    pub fn end(&mut self, now: Duration, id: String) {
         self.ended.push_back((now, id));
     }
 }
--- a/crates/platform/src/ids/tests.rs
+++ b/crates/platform/src/ids/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn an_id_is_one_requests_until_nothing_of_it_can_run() {
+fn an_id_stays_reserved_until_nothing_of_its_request_can_run() {
     let s = Duration::from_secs;
-    let mut ids = Ids::new(s(10));
+    let mut ids = RequestIds::new(s(10));
     // Time, id, and the expected result of reserving it; `None` ends its request.
-    for (at, id, taken) in [
+    for (at, id, reserved) in [
         (0, "a", Some(true)),
         (1, "a", Some(false)),
         (1, "b", Some(true)),
@@ -16,16 +16,16 @@
         (13, "a", Some(false)),
         (60, "b", Some(false)),
     ] {
-        match taken {
-            Some(taken) => assert_eq!(ids.take(s(at), id), taken, "{id} at {at}"),
-            None => ids.ends(s(at), id.to_owned()),
+        match reserved {
+            Some(reserved) => assert_eq!(ids.reserve(s(at), id), reserved, "{id} at {at}"),
+            None => ids.end(s(at), id.to_owned()),
         }
     }
     // Memory is bounded, however many requests end.
-    for i in 0..3 * MOST {
+    for i in 0..3 * MAX_ENDED_IDS {
         let id = format!("id{i}");
-        assert!(ids.take(s(70), &id));
-        ids.ends(s(70), id);
+        assert!(ids.reserve(s(70), &id));
+        ids.end(s(70), id);
     }
-    assert!(ids.taken.len() <= MOST + 4 && ids.ended.len() <= MOST + 2);
+    assert!(ids.reserved.len() <= MAX_ENDED_IDS + 4 && ids.ended.len() <= MAX_ENDED_IDS + 2);
 }
--- a/crates/platform/src/patience/tests.rs
+++ b/crates/platform/src/patience/tests.rs
@@ -2,10 +2,10 @@
 
 /// The platform's limits: 5 s of silence, and one second for the end of a stream.
 #[test]
-fn no_client_is_left_waiting() {
-    for gone in [false, true] {
-        assert!(silent(false, gone) < Duration::from_secs(5));
-        assert!(silent(true, gone) < Duration::from_secs(1));
+fn silence_is_limited_to_what_clients_are_promised() {
+    for host_removed in [false, true] {
+        assert!(silence_timeout(false, host_removed) < Duration::from_secs(5));
+        assert!(silence_timeout(true, host_removed) < Duration::from_secs(1));
     }
-    assert!(silent(false, true) < silent(false, false));
+    assert!(silence_timeout(false, true) < silence_timeout(false, false));
 }
--- a/crates/platform/src/registry.rs
+++ b/crates/platform/src/registry.rs
@@ -7,104 +7,116 @@
 use tulipstall_core::Row;
 
 /// Path of the list.
-pub const PATH: &str = "/registry/instances";
+pub const LIST_PATH: &str = "/registry/instances";
 
 /// Size limit of a list: many times that of a few thousand hosts.
-pub const LIST_BYTES: usize = 4 << 20;
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Time limits for requests to the registry, after which it is taken to be silent and asked again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Patience {
+pub struct RegistryTimeouts {
     /// How long the registry may hold a watch request open until there is a change.
-    pub wait: Duration,
+    pub watch_wait: Duration,
     /// How much later than that its answer may begin.
-    pub late: Duration,
+    pub watch_slack: Duration,
     /// Limit for the start of an answer to a request without a wait, the time to connect included.
-    pub at_once: Duration,
+    pub answer_start: Duration,
     /// Limit for the rest of an answer that has begun: agents write it at once.
-    pub whole: Duration,
+    pub answer_rest: Duration,
     /// Pause between two tries: within the 200 ms for which a watch may be interrupted.
-    pub pause: Duration,
+    pub retry_pause: Duration,
     /// Limit to which that pause grows while the registry rejects requests.
-    pub refused: Duration,
+    pub max_rejected_pause: Duration,
     /// Wait of the first request of a new watch that resumes from a known version, if it does: newer changes
     /// are returned at once, the requests that follow continue the watch, and the registry serves one request
     /// instead of two.
-    pub resumes: Option<Duration>,
+    pub resume_wait: Option<Duration>,
 }
 
 /// How long a change after the last good answer may stay unread while the registry can be reached: after that
 /// the platform counts the dispatcher as informed of it.
-pub const TOLD: Duration = Duration::from_secs(6);
+pub const NEWS_DEADLINE: Duration = Duration::from_secs(6);
 
 /// For how long answers with an older version than one seen before are ignored: they come from a registry
 /// replica that lags behind, or from a registry that has restarted, and only the second continues to send
 /// them. Leaves time for one watch and two further requests.
-pub const OLDER: Duration = Duration::from_millis(800);
+pub const OLDER_VERSIONS_IGNORED_FOR: Duration = Duration::from_millis(800);
 
-impl Patience {
+impl RegistryTimeouts {
     /// In push mode an agent on the same machine answers at once and at no cost, or is silent until the
     /// registry is back; what it then has counts as known to the dispatcher at once. So it is asked again
     /// well within the time for which a draining host may still be used. In on-request mode each request is
     /// expensive and may take long.
-    pub fn told(terms: &Terms) -> Patience {
+    pub fn from_terms(terms: &Terms) -> RegistryTimeouts {
         let ms = Duration::from_millis;
         if terms.text("registry_mode") == Some("on_request") {
             // A watch that falls silent at once and a silent successor leave time for a third request, which
             // returns the changes at once.
-            return Patience {
-                wait: ms(1900),
-                late: ms(700),
-                at_once: ms(700),
-                whole: ms(500),
-                pause: ms(100),
-                refused: ms(6000),
-                resumes: Some(ms(1000)),
+            return RegistryTimeouts {
+                watch_wait: ms(1900),
+                watch_slack: ms(700),
+                answer_start: ms(700),
+                answer_rest: ms(500),
+                retry_pause: ms(100),
+                max_rejected_pause: ms(6000),
+                resume_wait: Some(ms(1000)),
             };
         }
         // Two fifths and one fifth of the grace: the rest is for a busy dispatcher to process the list. The
         // lower bounds are the time of round trips.
         let grace = terms.span("rules.drain_grace_us").unwrap_or(ms(250));
-        let at_once = (grace * 2 / 5).clamp(ms(20), ms(400));
-        let pause = (grace / 5).clamp(ms(10), ms(100));
-        let (wait, late, whole) = (ms(1000), ms(500), ms(500));
-        Patience { wait, late, at_once, whole, pause, refused: pause, resumes: None }
+        let answer_start = (grace * 2 / 5).clamp(ms(20), ms(400));
+        let retry_pause = (grace / 5).clamp(ms(10), ms(100));
+        let (watch_wait, watch_slack, answer_rest) = (ms(1000), ms(500), ms(500));
+        RegistryTimeouts {
+            watch_wait,
+            watch_slack,
+            answer_start,
+            answer_rest,
+            retry_pause,
+            max_rejected_pause: retry_pause,
+            resume_wait: None,
+        }
     }
 
     /// Limit for the start of an answer after this many consecutive time-outs: a busy registry takes longer,
     /// and each abandoned request adds to its load.
-    pub fn after_silence(&self, times: u32) -> Duration {
-        (self.at_once * 2_u32.saturating_pow(times.min(8))).min(self.at_once.max(self.refused / 2))
+    pub fn answer_start_after_timeouts(&self, times: u32) -> Duration {
+        (self.answer_start * 2_u32.saturating_pow(times.min(8)))
+            .min(self.answer_start.max(self.max_rejected_pause / 2))
     }
 
     /// Pause after this many consecutive rejections: doubles each time and is randomised. Otherwise all
     /// dispatchers that were rejected at once would return at once, and hundreds that retry often keep a
     /// registry overloaded.
-    pub fn after_refusal(&self, times: u32, chance: f64) -> Duration {
-        (self.pause * 2_u32.saturating_pow(times.min(8) + 2)).min(self.refused).mul_f64(0.5 + chance)
+    pub fn pause_after_rejections(&self, times: u32, random_fraction: f64) -> Duration {
+        (self.retry_pause * 2_u32.saturating_pow(times.min(8) + 2))
+            .min(self.max_rejected_pause)
+            .mul_f64(0.5 + random_fraction)
     }
 }
 
 /// Tracks the versions of lists received.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Versions {
+pub struct VersionFilter {
     newest: u64,
     /// Since when only older versions have been received.
     older_since: Option<Duration>,
 }
 
-impl Versions {
+impl VersionFilter {
     /// Whether an answer of this version is accepted now.
-    pub fn takes(&mut self, now: Duration, seq: u64) -> bool {
+    pub fn accepts(&mut self, now: Duration, seq: u64) -> bool {
         let since = *self.older_since.get_or_insert(now);
-        let taken = seq >= self.newest || now >= since + OLDER;
-        if taken {
-            *self = Versions { newest: seq, older_since: None };
+        let accepted = seq >= self.newest || now >= since + OLDER_VERSIONS_IGNORED_FOR;
+        if accepted {
+            *self = VersionFilter { newest: seq, older_since: None };
         }
-        taken
+        accepted
     }
 }
 
+/// A list of hosts, or the changes since a version.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct List {
     pub seq: u64,
@@ -114,6 +126,7 @@
     pub hosts: Vec<Line>,
 }
 
+/// One host of a list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Line {
     pub host: String,
@@ -136,6 +149,7 @@
     1.0
 }
 
+/// Whether a host takes new requests, drains, or has left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
@@ -144,20 +158,21 @@
     Left,
 }
 
-pub fn parse(value: &serde_json::Value) -> Result<List, String> {
-    List::deserialize(value).map_err(|fault| format!("the list of hosts: {fault}"))
+/// Parses a list that is part of the configuration.
+pub fn parse_value(value: &serde_json::Value) -> Result<List, String> {
+    List::deserialize(value).map_err(|error| format!("the list of hosts: {error}"))
 }
 
 /// Parses a list; one that is malformed in part is rejected as a whole.
-pub fn read(bytes: &[u8]) -> Result<List, String> {
-    serde_json::from_slice(bytes).map_err(|fault| format!("the list of hosts: {fault}"))
+pub fn parse(bytes: &[u8]) -> Result<List, String> {
+    serde_json::from_slice(bytes).map_err(|error| format!("the list of hosts: {error}"))
 }
 
 /// The request for the whole list, or for changes after a version within a wait.
-pub fn question(host: SocketAddr, newer_than: Option<(u64, Duration)>) -> String {
+pub fn list_request(host: SocketAddr, newer_than: Option<(u64, Duration)>) -> String {
     let query =
-        newer_than.map_or(String::new(), |(seq, wait)| format!("?index={seq}&wait={}", wait.as_millis()));
-    format!("GET {PATH}{query} HTTP/1.1\r\nHost: {host}\r\n\r\n")
+        newer_than.map_or(String::new(), |(seq, hold)| format!("?index={seq}&wait={}", hold.as_millis()));
+    format!("GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host}\r\n\r\n")
 }
 
 impl Line {
@@ -170,12 +185,12 @@
     }
 
     /// Unix time of its process's start; `None` means long ago.
-    pub fn born(&self) -> Option<Duration> {
+    pub fn started_unix(&self) -> Option<Duration> {
         (self.born_ms > 0).then(|| Duration::from_millis(self.born_ms))
     }
 
     /// The row for the core, with the age of its process; `None` means long ago.
-    pub fn row(&self, up_for: Option<Duration>) -> Row {
+    pub fn to_row(&self, up_for: Option<Duration>) -> Row {
         Row {
             host: self.host.clone(),
             kind: self.class.clone(),
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -10,16 +10,16 @@
 
 /// A server that may be asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Server {
+pub struct Candidate {
     pub zone: u32,
     /// In the dispatcher's own zone, which stays reachable when zones are cut off from each other.
-    pub near: bool,
+    pub in_own_zone: bool,
     /// The last request to it failed.
-    pub doubted: bool,
+    pub suspected: bool,
     /// A connection to it is open.
-    pub ready: bool,
+    pub connected: bool,
     /// How often it has been asked for this request.
-    pub tried: u32,
+    pub attempts: u32,
 }
 
 /// Calls that are sent in parallel.
@@ -27,28 +27,28 @@
 pub struct Wave {
     pub calls: u32,
     /// How long to wait for an answer to any call so far before the next wave.
-    pub lasts: Duration,
+    pub answer_wait: Duration,
 }
 
 /// The release time is divided into this many steps. The decisions leave at least three of them: the first
 /// waves fit into these.
-const STEPS: u32 = 20;
+const STEPS_PER_RELEASE: u32 = 20;
 
 /// Calls of the first waves, which are one step apart: with half of all connections silent, one release in
 /// two thousand gets no answer to these.
-const WIDENS: [u32; 4] = [1, 2, 4, 4];
+const FIRST_WAVE_CALLS: [u32; 4] = [1, 2, 4, 4];
 
 /// Calls of each later wave. By then all servers are silent, as when the dispatcher's own network is cut off.
-const LATER: u32 = 2;
+const LATER_WAVE_CALLS: u32 = 2;
 
 /// Limit of waves: after these, at about three times the release time, servers free the rest by themselves.
-const MOST: u32 = 17;
+const MAX_WAVES: u32 = 17;
 
 /// Steps that one server may take to answer.
 const ANSWER_STEPS: u32 = 2;
 
 /// Whether the end of an attempt shows that its server can be reached; `None` if it shows neither.
-pub fn answers(outcome: Outcome) -> Option<bool> {
+pub fn reachability(outcome: Outcome) -> Option<bool> {
     use Outcome::*;
     match outcome {
         Read | Delivered | Full | NoState | Error | Spoilt => Some(true),
@@ -59,21 +59,21 @@
 
 /// The part of the release time that is left when the decisions request a release: one that takes longer is
 /// late.
-pub fn left_after_it_is_owed(release: Duration) -> Duration {
-    release * 3 / STEPS
+pub fn time_left_when_owed(release: Duration) -> Duration {
+    release * 3 / STEPS_PER_RELEASE
 }
 
 /// How long one server may take to answer.
-pub fn within(release: Duration) -> Duration {
-    release * ANSWER_STEPS / STEPS
+pub fn call_timeout(release: Duration) -> Duration {
+    release * ANSWER_STEPS / STEPS_PER_RELEASE
 }
 
 /// The wave that follows `before` waves; `None` means that the release is abandoned.
 pub fn wave(before: u32, release: Duration) -> Option<Wave> {
-    let step = release / STEPS;
-    match WIDENS.get(before as usize) {
-        Some(calls) => Some(Wave { calls: *calls, lasts: step }),
-        None if before < MOST => Some(Wave { calls: LATER, lasts: 5 * step }),
+    let step = release / STEPS_PER_RELEASE;
+    match FIRST_WAVE_CALLS.get(before as usize) {
+        Some(calls) => Some(Wave { calls: *calls, answer_wait: step }),
+        None if before < MAX_WAVES => Some(Wave { calls: LATER_WAVE_CALLS, answer_wait: 5 * step }),
         None => None,
     }
 }
@@ -86,26 +86,41 @@
 
 /// Delay of the repeated release after a read that ended in silence: where the server was cut off, the read
 /// may still have been in transit when the first release arrived. Well within the release time.
-pub fn once_more(release: Duration) -> Duration {
+pub fn repeat_delay(release: Duration) -> Duration {
     release / 3
 }
 
 /// The server to ask next: the holder if it responds; otherwise the least tried one, of the zone with the
 /// fewest failures, preferring servers that are not suspected, are in the own zone and have an open
 /// connection. Ties are broken at random, so that dispatchers do not all choose the same server.
-pub fn next(servers: &[Server], holds: Option<usize>, mut chance: impl FnMut() -> u32) -> Option<usize> {
-    let is_sound = |at: &usize| servers.get(*at).is_some_and(|server| !server.doubted && server.tried == 0);
-    if let Some(at) = holds.filter(is_sound) {
-        return Some(at);
+pub fn next_server(
+    servers: &[Candidate],
+    holder: Option<usize>,
+    mut random: impl FnMut() -> u32,
+) -> Option<usize> {
+    let is_eligible =
+        |index: &usize| servers.get(*index).is_some_and(|server| !server.suspected && server.attempts == 0);
+    if let Some(index) = holder.filter(is_eligible) {
+        return Some(index);
     }
-    let mut in_vain: BTreeMap<u32, u32> = BTreeMap::new();
+    let mut failures_by_zone: BTreeMap<u32, u32> = BTreeMap::new();
     for server in servers {
-        *in_vain.entry(server.zone).or_default() += server.tried + u32::from(server.doubted);
+        *failures_by_zone.entry(server.zone).or_default() += server.attempts + u32::from(server.suspected);
     }
-    let rank = |(at, server): (usize, &Server)| {
-        ((server.tried, server.doubted, in_vain[&server.zone], !server.near, !server.ready, chance()), at)
+    let rank = |(index, server): (usize, &Candidate)| {
+        (
+            (
+                server.attempts,
+                server.suspected,
+                failures_by_zone[&server.zone],
+                !server.in_own_zone,
+                !server.connected,
+                random(),
+            ),
+            index,
+        )
     };
-    servers.iter().enumerate().map(rank).min().map(|(_, at)| at)
+    servers.iter().enumerate().map(rank).min().map(|(_, index)| index)
 }
 
 #[cfg(test)]
--- a/crates/platform/src/release/tests.rs
+++ b/crates/platform/src/release/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn server(zone: u32, near: bool, doubted: bool, ready: bool, tried: u32) -> Server {
-    Server { zone, near, doubted, ready, tried }
+fn server(zone: u32, in_own_zone: bool, suspected: bool, connected: bool, attempts: u32) -> Candidate {
+    Candidate { zone, in_own_zone, suspected, connected, attempts }
 }
 
 #[test]
-fn the_next_to_be_asked_has_another_fate() {
+fn the_next_server_shares_little_with_those_that_failed() {
     let (here, there) = (server(0, true, false, false, 0), server(1, false, false, false, 0));
     let (lost, tried) = (server(1, false, true, false, 0), server(1, false, true, false, 1));
-    for (name, servers, holds, asked) in [
+    for (name, servers, holder, asked) in [
         ("who holds it", vec![here, there], Some(1), Some(1)),
         ("who holds it does not answer", vec![there, lost, here], Some(1), Some(2)),
         ("nobody", vec![], None, None),
@@ -23,20 +23,20 @@
         ("an open connection", vec![here, server(0, true, false, true, 0)], None, Some(1)),
         ("all were tried", vec![server(0, true, true, false, 2), tried], Some(0), Some(1)),
     ] {
-        assert_eq!(next(&servers, holds, || 7), asked, "{name}");
+        assert_eq!(next_server(&servers, holder, || 7), asked, "{name}");
     }
 }
 
 #[test]
-fn of_servers_alike_each_is_asked_by_chance() {
+fn equal_servers_are_asked_at_random() {
     let mut seed = 1_u32;
-    let mut chance = || {
+    let mut random = || {
         seed = seed.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
         seed >> 8
     };
     let mut asked = [0; 16];
     for _ in 0..1600 {
-        asked[next(&[Server::default(); 16], None, &mut chance).expect("a host")] += 1;
+        asked[next_server(&[Candidate::default(); 16], None, &mut random).expect("a host")] += 1;
     }
     assert!(asked.iter().all(|times| (50..200).contains(times)), "{asked:?}");
 }
@@ -46,15 +46,15 @@
 #[test]
 fn waves_widen_and_end() {
     let release = Duration::from_secs(1);
-    let left = left_after_it_is_owed(release);
-    assert!(within(release) <= left && once_more(release) < release / 2);
+    let left = time_left_when_owed(release);
+    assert!(call_timeout(release) <= left && repeat_delay(release) < release / 2);
     let waves: Vec<Wave> = (0..).map_while(|before| wave(before, release)).collect();
     assert!(waves.len() < 20);
     let mut begins = Duration::ZERO;
     let mut calls_in_time = 0;
     for wave in &waves {
         calls_in_time += if begins <= left { wave.calls } else { 0 };
-        begins += wave.lasts;
+        begins += wave.answer_wait;
     }
     assert!(calls_in_time >= 11, "{calls_in_time}");
     assert!(begins > 3 * release && begins < 5 * release, "{begins:?}");
--- a/crates/platform/src/room.rs
+++ b/crates/platform/src/room.rs
@@ -5,101 +5,103 @@
 
 /// Descriptors other than connections: standard streams, the listener, event queues, the registry, the signal
 /// pipe.
-const OTHERS: usize = 24;
+const RESERVED_SOCKETS: usize = 24;
 
 /// Time for the first byte of a new connection and for a whole request. The platform requires an answer to
 /// either within 3 s, and a healthy client sends at once.
-pub const SAYS_NOTHING: Duration = Duration::from_millis(1500);
-pub const REQUEST: Duration = Duration::from_millis(2000);
+pub const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(1500);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// For how long a stop spares a new connection: its client sends the first request at once, at most a few
 /// round trips later.
-pub const FIRST: Duration = Duration::from_millis(150);
+pub const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(150);
 
 /// Requests of one connection that may be read ahead while another one is answered.
-pub const AHEAD: usize = 2;
+pub const MAX_READ_AHEAD: usize = 2;
 
 /// Bytes read and discarded from a client whose input is malformed, to notice when it disconnects: four of
 /// the largest bodies, which take a moment.
-pub const SWALLOWS: usize = 4 * crate::call::BODY;
+pub const MAX_DISCARDED_BYTES: usize = 4 * crate::call::MAX_BODY_BYTES;
 
-/// How long a connection stays half open after its last answer: a few round trips, during which it holds a
-/// descriptor.
-pub const LINGERS: Duration = Duration::from_millis(100);
+/// How long a connection stays half open after its last answer: a few round trips, so that few
+/// descriptors are held by this.
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
 
+/// The number of sockets that connections may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct SocketBudget {
     sockets: usize,
 }
 
 /// State of a client connection, as far as eviction depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Idle {
+pub struct EvictionCandidate {
+    /// When it was accepted, or when its last answer ended, since the dispatcher's start.
     pub since: Duration,
     /// Part of a request has been received.
-    pub part: bool,
+    pub partial: bool,
     /// At least one request has been answered: the client is likely to send another.
-    pub known: bool,
+    pub answered_before: bool,
 }
 
 /// What to close to free descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Goes {
+pub enum Eviction {
     /// A client connection without a whole request.
     Client,
     /// Idle connections to hosts: a new one costs one or two round trips.
-    IdleHosts,
+    IdleHostLinks,
 }
 
-impl Room {
+impl SocketBudget {
     pub fn new(sockets: usize) -> Self {
-        Room { sockets: sockets.saturating_sub(OTHERS).max(8) }
+        SocketBudget { sockets: sockets.saturating_sub(RESERVED_SOCKETS).max(8) }
     }
 
     /// Half of the sockets: each open task has one connection to a client and one to a host.
-    pub fn clients(&self) -> usize {
+    pub fn max_clients(&self) -> usize {
         self.sockets / 2
     }
 
     /// Limit of open tasks: leaves room for clients that are connected without a task.
-    pub fn tasks(&self) -> usize {
+    pub fn max_tasks(&self) -> usize {
         self.sockets * 2 / 5
     }
 
     /// How long a connection stays open between requests: 10 s while less than a quarter of the client limit
     /// is used, as there is no need to close it sooner; otherwise a little more than the 2 s that the
     /// platform guarantees to clients.
-    pub fn idle(&self, clients: usize) -> Duration {
-        Duration::from_millis(if clients * 4 < self.clients() { 10_000 } else { 2500 })
+    pub fn idle_timeout(&self, clients: usize) -> Duration {
+        Duration::from_millis(if clients * 4 < self.max_clients() { 10_000 } else { 2500 })
     }
 
     /// Whether a connection to a host may be returned to the pool while `held` sockets are open.
-    pub fn keeps(&self, held: usize) -> bool {
+    pub fn may_pool(&self, held: usize) -> bool {
         held * 4 < self.sockets * 3
     }
 
     /// Whether a connection to a host may be opened while `held` sockets are open: the remainder is reserved
     /// for the registry, for release requests and for files that are read on a signal.
-    pub fn connects(&self, held: usize) -> bool {
+    pub fn may_connect(&self, held: usize) -> bool {
         held < self.sockets
     }
 
     /// Whether a connection that is being closed may wait for its client to notice, while `held` sockets are
     /// open.
-    pub fn lingers(&self, held: usize) -> bool {
+    pub fn may_linger(&self, held: usize) -> bool {
         held * 2 < self.sockets
     }
 
     /// Whether at least seven eighths of the sockets are in use.
-    pub fn is_short(&self, held: usize) -> bool {
+    pub fn is_nearly_exhausted(&self, held: usize) -> bool {
         held * 8 >= self.sockets * 7
     }
 
     /// What to close for the newest of `clients` clients, while `held` sockets are open.
-    pub fn must_go(&self, clients: usize, held: usize) -> Option<Goes> {
-        match (clients > self.clients(), self.is_short(held)) {
-            (true, _) => Some(Goes::Client),
-            (false, true) => Some(Goes::IdleHosts),
+    pub fn eviction_for_new_client(&self, clients: usize, held: usize) -> Option<Eviction> {
+        match (clients > self.max_clients(), self.is_nearly_exhausted(held)) {
+            (true, _) => Some(Eviction::Client),
+            (false, true) => Some(Eviction::IdleHostLinks),
             (false, false) => None,
         }
     }
@@ -107,8 +109,13 @@
     /// Selects the client to evict for a new one: of those without a request first the ones that never sent
     /// any, then the one that has been silent longest; those that have sent part of a request come last. None
     /// if every client has a whole request.
-    pub fn goes(&self, idle: impl Iterator<Item = (usize, Idle)>) -> Option<usize> {
-        idle.min_by_key(|(_, about)| (about.part, about.known, about.since)).map(|(at, _)| at)
+    pub fn client_to_evict(
+        &self,
+        candidates: impl Iterator<Item = (usize, EvictionCandidate)>,
+    ) -> Option<usize> {
+        candidates
+            .min_by_key(|(_, candidate)| (candidate.partial, candidate.answered_before, candidate.since))
+            .map(|(index, _)| index)
     }
 }
 
--- a/crates/platform/src/room/tests.rs
+++ b/crates/platform/src/room/tests.rs
@@ -5,30 +5,32 @@
 }
 
 #[test]
-fn who_goes_for_a_new_client() {
-    let room = Room::new(224);
-    for (clients, held, goes) in [
+fn who_is_evicted_for_a_new_client() {
+    let budget = SocketBudget::new(224);
+    for (clients, held, evicted) in [
         (1, 3, None),
         (100, 174, None),
-        (101, 110, Some(Goes::Client)),
-        (20, 175, Some(Goes::IdleHosts)),
-        (101, 190, Some(Goes::Client)),
+        (101, 110, Some(Eviction::Client)),
+        (20, 175, Some(Eviction::IdleHostLinks)),
+        (101, 190, Some(Eviction::Client)),
     ] {
-        assert_eq!(room.must_go(clients, held), goes, "{clients} clients, {held} held");
+        assert_eq!(budget.eviction_for_new_client(clients, held), evicted, "{clients} clients, {held} held");
     }
     // Clients that never sent a request are evicted first, then the one that has been silent longest.
-    let idle = |since, known| Idle { since: ms(since), part: false, known };
-    let part = |since, known| Idle { part: true, ..idle(since, known) };
-    for (all, goes) in [
+    let candidate =
+        |since, answered_before| EvictionCandidate { since: ms(since), partial: false, answered_before };
+    let partial_request =
+        |since, answered_before| EvictionCandidate { partial: true, ..candidate(since, answered_before) };
+    for (all, evicted) in [
         (vec![], None),
-        (vec![idle(10, true), idle(50, false), idle(20, false)], Some(2)),
-        (vec![idle(30, true), idle(10, true)], Some(1)),
-        (vec![part(10, false), idle(50, true)], Some(1)),
-        (vec![part(30, false), part(10, false)], Some(1)),
+        (vec![candidate(10, true), candidate(50, false), candidate(20, false)], Some(2)),
+        (vec![candidate(30, true), candidate(10, true)], Some(1)),
+        (vec![partial_request(10, false), candidate(50, true)], Some(1)),
+        (vec![partial_request(30, false), partial_request(10, false)], Some(1)),
     ] {
-        assert_eq!(room.goes(all.iter().copied().enumerate()), goes, "{all:?}");
+        assert_eq!(budget.client_to_evict(all.iter().copied().enumerate()), evicted, "{all:?}");
     }
     // A small limit still leaves some sockets, and idle clients are closed sooner when there are many.
-    assert!(Room::new(0).clients() > 0 && Room::new(0).tasks() > 0);
-    assert!(room.idle(10) > room.idle(90) && room.idle(90) > ms(2000));
+    assert!(SocketBudget::new(0).max_clients() > 0 && SocketBudget::new(0).max_tasks() > 0);
+    assert!(budget.idle_timeout(10) > budget.idle_timeout(90) && budget.idle_timeout(90) > ms(2000));
 }
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -5,25 +5,30 @@
 use std::net::SocketAddr;
 use tulipstall::interface::Terms;
 
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
+    /// Descriptors that the process may hold.
     pub sockets: usize,
 }
 
+/// A parsed start configuration.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub name: String,
     pub listen: SocketAddr,
+    /// Address of the registry.
     pub discovery: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
     /// The last host list that this dispatcher had; it may be out of date.
-    pub known: Option<List>,
+    pub last_list: Option<List>,
+    /// The remaining settings as dotted names.
     pub terms: Terms,
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct RawConfig {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -31,33 +36,34 @@
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: ToldLimits,
+    limits: RawLimits,
     known: Option<serde_json::Value>,
     #[serde(default)]
     settings: serde_json::Value,
 }
 
 #[derive(Default, Deserialize)]
-struct ToldLimits {
+struct RawLimits {
     sockets: Option<usize>,
 }
 
 impl Start {
     /// Parses the configuration; the error text names the fault.
     pub fn read(text: &str) -> Result<Start, String> {
-        let told: Told = serde_json::from_str(text).map_err(|fault| format!("the configuration: {fault}"))?;
+        let config: RawConfig =
+            serde_json::from_str(text).map_err(|error| format!("the configuration: {error}"))?;
         // A seed that is not hexadecimal is hashed, so that each dispatcher still gets a seed of its own.
-        let seed = u64::from_str_radix(&told.seed, 16).unwrap_or(tulipstall::door::mark(&told.seed));
+        let seed = u64::from_str_radix(&config.seed, 16).unwrap_or(tulipstall::door::mark(&config.seed));
         Ok(Start {
-            name: told.name,
-            listen: told.listen,
-            discovery: told.discovery,
+            name: config.name,
+            listen: config.listen,
+            discovery: config.discovery,
             seed,
             // The usual descriptor limit of the system, for a configuration that gives none.
-            limits: Limits { sockets: told.limits.sockets.unwrap_or(1024) },
+            limits: Limits { sockets: config.limits.sockets.unwrap_or(1024) },
             // A cached list that cannot be read is ignored.
-            known: told.known.and_then(|known| registry::parse(&known).ok()),
-            terms: crate::terms(&told.settings),
+            last_list: config.known.and_then(|known| registry::parse_value(&known).ok()),
+            terms: crate::terms(&config.settings),
         })
     }
 }
--- a/crates/platform/src/terms.rs
+++ b/crates/platform/src/terms.rs
@@ -12,16 +12,18 @@
 }
 
 fn flatten(name: String, value: &Value, terms: &mut Terms) {
-    let below = |part: &str| if name.is_empty() { part.to_owned() } else { format!("{name}.{part}") };
+    let child = |child_name: &str| {
+        if name.is_empty() { child_name.to_owned() } else { format!("{name}.{child_name}") }
+    };
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                flatten(below(&house_name(key)), value, terms);
+                flatten(child(&internal_name(key)), value, terms);
             }
         }
         Value::Array(items) => {
             for (i, item) in items.iter().enumerate() {
-                flatten(below(&i.to_string()), item, terms);
+                flatten(child(&i.to_string()), item, terms);
             }
         }
         Value::Bool(flag) => {
@@ -32,16 +34,16 @@
         }
         Value::String(text) => {
             // Only effects are translated: names belong to the customers and may contain any word.
-            let effect = name.ends_with(".effect");
-            let text = if effect { house_value(text) } else { text };
+            let is_effect = name.ends_with(".effect");
+            let text = if is_effect { internal_effect(text) } else { text };
             terms.0.insert(name, Term::Text(text.to_owned()));
         }
         Value::Null => {}
     }
 }
 
-fn house_name(wire: &str) -> String {
-    let known = match wire {
+fn internal_name(platform_name: &str) -> String {
+    let internal = match platform_name {
         "Profiles" => "offerings",
         "Accounts" => "customers",
         "Domain" => "service",
@@ -63,13 +65,13 @@
         "RetryAfter" => "come_back",
         "StopSendingWithinUs" => "drain_grace_us",
         "OverloadFactor" => "fall_multiple",
-        _ => return snake(wire),
+        _ => return to_snake_case(platform_name),
     };
-    known.to_owned()
+    internal.to_owned()
 }
 
-fn house_value(wire: &str) -> &str {
-    match wire {
+fn internal_effect(platform_name: &str) -> &str {
+    match platform_name {
         "pure" => "replayable",
         "token" => "referenced",
         "side_effect" => "single-use",
@@ -77,14 +79,14 @@
     }
 }
 
-fn snake(wire: &str) -> String {
-    let mut name = String::with_capacity(wire.len() + 8);
-    let mut before_small = false;
-    for c in wire.chars() {
-        if c.is_uppercase() && before_small {
+fn to_snake_case(platform_name: &str) -> String {
+    let mut name = String::with_capacity(platform_name.len() + 8);
+    let mut after_lowercase = false;
+    for c in platform_name.chars() {
+        if c.is_uppercase() && after_lowercase {
             name.push('_');
         }
-        before_small = c.is_lowercase() || c.is_ascii_digit();
+        after_lowercase = c.is_lowercase() || c.is_ascii_digit();
         name.extend(c.to_lowercase());
     }
     name
--- a/crates/platform/tests/ages.rs
+++ b/crates/platform/tests/ages.rs
@@ -18,13 +18,13 @@
         [(20, 0, 5, 5), (20, 3600, 5, 5), (20, -3600, 5, 0), (20, 3600, 7200, 7200), (20, -3600, 7200, 3600)]
     {
         let now = START + since_start;
-        let born = seconds(now - age);
+        let started = seconds(now - age);
         let wall = WallClock {
             at_start: seconds(START),
             now: seconds(now.checked_add_signed(set_by).expect("a time")),
             since_start: seconds(since_start),
         };
-        assert_eq!(wall.age(born), seconds(expected), "set by {set_by}, {age} s old");
+        assert_eq!(wall.age(started), seconds(expected), "set by {set_by}, {age} s old");
     }
 }
 
@@ -40,7 +40,7 @@
 
 #[test]
 fn an_age_grows_by_the_monotonic_clock() {
-    let age = Age { first: seconds(3), listed: seconds(100) };
+    let age = Age { at_listing: seconds(3), listed_at: seconds(100) };
     assert_eq!(age.at(seconds(107)), seconds(10));
     assert_eq!(age.at(seconds(90)), seconds(3));
 }
