--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -13,8 +13,8 @@
 use tulipstall_core::{End, Input, TaskId};
 use tulipstall_net::{Fault, Link, Reply, sockets_held};
 use tulipstall_platform::host::{self, ANSWER_LIMITS, AnswerKind, EventSplitter};
-use tulipstall_platform::kept::ReuseHistory;
-use tulipstall_platform::{patience, release};
+use tulipstall_platform::reuse::ReuseHistory;
+use tulipstall_platform::{release, timeouts};
 
 /// One attempt of a task at one host.
 pub struct Attempt {
@@ -272,7 +272,7 @@
         tracing::debug!(id, attempt = self.number, host = endpoint.name, bytes, idle_ms, "attempt written");
         drop(request);
         let (written, mut reply) = (Instant::now(), Reply::new(link, ANSWER_LIMITS));
-        let head = reply.head_begun(self.until, patience::ANSWER_START_TIMEOUT);
+        let head = reply.head_begun(self.until, timeouts::ANSWER_START_TIMEOUT);
         let broken = matches!(head, Err(Fault::Broken));
         let stale = broken && !reply.reader.any() && ReuseHistory::was_stale(written.elapsed());
         if let Some(idle) = idle
@@ -308,7 +308,7 @@
 
     fn first_event(&self, mut reply: Reply) -> Result<ShotResult, Outcome> {
         let (mut events, mut bytes, mut received) = (EventSplitter::default(), Vec::new(), Vec::new());
-        let first_event_until = self.until.min(Instant::now() + patience::ANSWER_START_TIMEOUT);
+        let first_event_until = self.until.min(Instant::now() + timeouts::ANSWER_START_TIMEOUT);
         loop {
             received.clear();
             // The head of the answer has arrived, so the attempt has run: whatever happens to the rest, its
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -18,7 +18,7 @@
 use tulipstall_net::{Fault, Link, Listener, READ, sockets_held, spawn};
 use tulipstall_platform::call::{self, MAX_BODY_BYTES, Rejection};
 use tulipstall_platform::host::ForwardedCall;
-use tulipstall_platform::room::{
+use tulipstall_platform::socket_budget::{
     Eviction, EvictionCandidate, FIRST_BYTE_TIMEOUT, LINGER_TIMEOUT, MAX_DISCARDED_BYTES, MAX_READ_AHEAD,
     NEW_CONNECTION_GRACE, REQUEST_TIMEOUT,
 };
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -17,7 +17,7 @@
 use tulipstall_net::{Link, Pool};
 use tulipstall_platform::age::{Age, WallClock};
 use tulipstall_platform::registry::List;
-use tulipstall_platform::{patience, release};
+use tulipstall_platform::{release, timeouts};
 
 /// One process of a host, with its connections.
 pub struct Endpoint {
@@ -71,7 +71,7 @@
             self.pool.clear();
         }
         if standing == Standing::Gone {
-            let by = Instant::now() + patience::silence_timeout(false, true);
+            let by = Instant::now() + timeouts::silence_timeout(false, true);
             lock(&self.streams).iter().for_each(|(_, link)| link.read_by_at_most(by));
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -29,9 +29,9 @@
 use tulipstall_net::{Link, Listener};
 use tulipstall_platform::call::Catalog;
 use tulipstall_platform::ids::RequestIds;
-use tulipstall_platform::kept::ReuseHistory;
 use tulipstall_platform::registry::RegistryTimeouts;
-use tulipstall_platform::room::SocketBudget;
+use tulipstall_platform::reuse::ReuseHistory;
+use tulipstall_platform::socket_budget::SocketBudget;
 use tulipstall_platform::start::Start;
 
 /// Sends messages to the thread that owns the decisions: a bounded queue, first in, first out.
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -9,7 +9,7 @@
 use tulipstall_core::End;
 use tulipstall_http1::body::{LAST_CHUNK, write_chunk};
 use tulipstall_net::Fault;
-use tulipstall_platform::patience;
+use tulipstall_platform::timeouts;
 
 const STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -42,7 +42,7 @@
         received.clear();
         let (end_marker_seen, endpoint) = (begun.events.end_marker_seen, &begun.endpoint);
         match begun.reply.body_while(&mut received, &|| {
-            last_read + patience::silence_timeout(end_marker_seen, endpoint.is_removed())
+            last_read + timeouts::silence_timeout(end_marker_seen, endpoint.is_removed())
         }) {
             Ok(ended) => begun.ended = ended,
             Err(_) if client.has_left() => break (Outcome::Cancelled, "client left"),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -6,12 +6,12 @@
 pub mod call;
 pub mod host;
 pub mod ids;
-pub mod kept;
-pub mod patience;
 pub mod registry;
 pub mod release;
-pub mod room;
+pub mod reuse;
+pub mod socket_budget;
 pub mod start;
 mod terms;
+pub mod timeouts;
 
 pub use terms::terms;
