--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -232,11 +232,11 @@
     /// Evicts a client to make room for one more; returns whether one could be evicted.
     fn evict_for_new_client(&self, shared: &Shared) -> bool {
         let open = lock(&self.open);
-        let idle = open.iter().filter(|(_, client)| !client.has_request() && !client.has_left());
-        let idle = idle.map(|(at, client)| {
+        let candidates = open.iter().filter(|(_, client)| !client.has_request() && !client.has_left());
+        let candidates = candidates.map(|(index, client)| {
             let since = client.since().saturating_duration_since(shared.start);
             (
-                at,
+                index,
                 EvictionCandidate {
                     since,
                     partial: client.has_partial(),
@@ -244,7 +244,10 @@
                 },
             )
         });
-        shared.socket_budget.client_to_evict(idle).is_some_and(|at| open[at].end_if_no_whole_request())
+        shared
+            .socket_budget
+            .client_to_evict(candidates)
+            .is_some_and(|index| open[index].end_if_no_whole_request())
     }
 }
 
@@ -328,13 +331,13 @@
 /// Reads requests until the client disconnects.
 fn read_requests(shared: &Shared, client: &Client, inbox: &Sender<Message>) -> Message {
     let mut reader = RequestReader::new(REQUEST_LIMITS);
-    let mut since: Option<Instant> = None;
+    let mut begun_at: Option<Instant> = None;
     let mut is_first = true;
     loop {
         match reader.poll() {
             Err(refusal) => return Message::Rejected(refusal),
             Ok(Step::Request(head, body)) => {
-                (since, is_first) = (None, false);
+                (begun_at, is_first) = (None, false);
                 match client.begin_request() {
                     Some(in_hand) if in_hand > 1 + MAX_READ_AHEAD => return Message::Rejected(TOO_FAR_AHEAD),
                     Some(_) if inbox.send(Message::Request(head, body)).is_ok() => {}
@@ -348,13 +351,13 @@
                 if !client.set_partial(begun) {
                     return Message::Disconnected { timed_out: false };
                 }
-                if begun && since.is_none() {
-                    since = Some(if is_first { client.since() } else { Instant::now() });
+                if begun && begun_at.is_none() {
+                    begun_at = Some(if is_first { client.since() } else { Instant::now() });
                 }
                 // Timed from the end of the answer before: while an answer is pending its connection is not
                 // ended.
                 let pending = client.has_request();
-                let until = match since {
+                let until = match begun_at {
                     Some(since) => since.max(client.since()) + REQUEST_TIMEOUT,
                     None if is_first => client.since() + FIRST_BYTE_TIMEOUT,
                     None => Instant::now() + shared.socket_budget.idle_timeout(shared.clients.count()),
@@ -363,7 +366,7 @@
                 // No time limit while an answer is pending: the end of the last answer sets it.
                 match client.link.read_until(&mut buffer, (!pending).then_some(until)) {
                     Ok(got) if got > 0 => reader.feed(&buffer[..got]),
-                    Err(Fault::TimedOut) => return Message::Disconnected { timed_out: since.is_some() },
+                    Err(Fault::TimedOut) => return Message::Disconnected { timed_out: begun_at.is_some() },
                     _ => return Message::Disconnected { timed_out: false },
                 }
             }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts of held states, written to the log while they change: the platform provides no port for a metrics
+//! Counts of held states, written to the log while they change: the platform does not provide for a metrics
 //! listener.
 
 use std::sync::Mutex;
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -90,9 +90,9 @@
     release / 3
 }
 
-/// The server to ask next: the holder if it responds; otherwise the least tried one, of the zone with the
-/// fewest failures, preferring servers that are not suspected, are in the own zone and have an open
-/// connection. Ties are broken at random, so that dispatchers do not all choose the same server.
+/// The server to ask next: the holder if it is neither suspected nor tried; otherwise the first by fewest
+/// attempts, not suspected, fewest failures in its zone, own zone, open connection. Ties are broken at random,
+/// so that dispatchers do not all choose the same server.
 pub fn next_server(
     servers: &[Candidate],
     holder: Option<usize>,
