--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The tulipstall program.
+//! The `tulipstall` command line program: the dispatcher, and tools to check, simulate and load it.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::fs;
@@ -10,28 +10,28 @@
 use tulipstall_rig::vary::Vary;
 use tulipstall_settings::Settings;
 
-/// A router for language-model serving with reading and writing on separate engines.
+/// A router for language-model serving with separate prefill and decode servers.
 #[derive(Parser)]
 #[command(version, arg_required_else_help = true)]
 struct Program {
     #[command(subcommand)]
     command: Command,
     #[command(flatten)]
-    log: LogTo,
+    log: LogOptions,
 }
 
 #[derive(Args)]
-struct LogTo {
-    /// How log lines are written.
-    #[arg(long, global = true, value_enum, default_value_t = LogForm::Text)]
-    log: LogForm,
-    /// The least severe lines that are written.
+struct LogOptions {
+    /// Format of the log lines on standard error.
+    #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
+    log: LogFormat,
+    /// Least severe level that is logged.
     #[arg(long, global = true, value_enum, default_value_t = LogLevel::Info)]
     log_level: LogLevel,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
@@ -46,59 +46,60 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a dispatcher until SIGTERM or SIGINT; a second signal ends it at once.
+    /// Run a dispatcher until SIGTERM or SIGINT, then drain; a second signal ends it at once.
     Serve {
-        /// JSON settings, see `tulipstall schema`.
+        /// JSON settings file, see `tulipstall schema`.
         #[arg(long)]
         settings: PathBuf,
         /// Write every event and action to this file, for `tulipstall replay`.
         #[arg(long)]
         record: Option<PathBuf>,
-        /// Write the addresses listened on to this file, once they are.
+        /// Write the bound addresses to this file as JSON once the dispatcher listens.
         #[arg(long)]
         addresses: Option<PathBuf>,
     },
-    /// Run the dispatcher as the platform starts it: told by its environment, listening on one address.
+    /// Run the dispatcher as the platform starts it: configured by the environment, listening on one address.
     Node {
-        /// The configuration; else where EDGE_CONFIG says.
+        /// Configuration file; defaults to the path in EDGE_CONFIG.
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// Check settings; every fault is named by its place.
+    /// Validate a settings file and report each error with its JSON path.
     Check { file: PathBuf },
     /// Print the JSON Schema of the settings.
     Schema,
-    /// Play a record of `serve --record` through the decisions and compare every action.
+    /// Replay a file of `serve --record` through the decision logic and compare every action.
     Replay { file: PathBuf },
-    /// Start stand-ins and a dispatcher, send one streamed question and show who read and who wrote.
+    /// Start simulated hosts and a dispatcher, stream one request and show which hosts read and wrote it.
     Demo,
-    /// Play a scripted day against dispatchers of this program and judge the rules by the traffic.
+    /// Run a scripted load test with simulated hosts and dispatchers of this program, and check the rules
+    /// against the recorded traffic.
     Day {
         file: PathBuf,
-        /// Where the dispatchers' files go; a temporary folder if absent.
+        /// Folder for the dispatchers' files; defaults to a temporary folder.
         #[arg(long)]
         folder: Option<PathBuf>,
-        /// Write all that crossed the sockets to this file as JSON.
+        /// Write the recorded traffic to this file as JSON.
         #[arg(long)]
         traffic: Option<PathBuf>,
-        /// Play it once with each value of a setting and tell each in windows: `/prefixes/by=content,table,nothing`.
+        /// Run once for each value of a setting and report per time window: `/prefixes/by=content,table,nothing`.
         #[arg(long)]
         vary: Option<Vary>,
-        /// Milliseconds of a window.
+        /// Length of a time window in milliseconds.
         #[arg(long, default_value_t = 2000, requires = "vary")]
         window_ms: u64,
     },
-    /// Ask a dispatcher's control socket which opening texts it thinks which hosts hold.
+    /// Query a dispatcher's control socket for its prefix index: the prompt prefixes that each host is estimated to cache.
     Index {
         #[command(subcommand)]
-        what: IndexOf,
-        /// The dispatcher's control socket.
+        what: IndexCommand,
+        /// Address of the dispatcher's control socket.
         #[arg(long, global = true, default_value = "127.0.0.1:9700")]
         control: SocketAddr,
     },
-    /// Put an open-loop load on a dispatcher; latency counts from when each request was due.
+    /// Send an open-loop load to a dispatcher; latency is measured from each request's scheduled time.
     Load {
-        /// The dispatcher.
+        /// Address of the dispatcher.
         #[arg(long)]
         address: SocketAddr,
         #[arg(long, default_value = "chat-reply")]
@@ -107,54 +108,57 @@
         per_second: f64,
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
-        /// Tokens of each answer; stand-ins give as many, other engines as many at the most.
+        /// Tokens of each answer; simulated hosts produce exactly this many, real engines at most this many.
         #[arg(long, default_value_t = 50)]
         tokens: u32,
         /// Bytes of each prompt.
         #[arg(long, default_value_t = 2000)]
         prompt_bytes: usize,
-        /// Ask for whole answers rather than streams.
+        /// Request complete answers instead of streams.
         #[arg(long)]
         plain: bool,
-        /// What is sent as x-api-key.
+        /// Value of the x-api-key header.
         #[arg(long)]
         key: Option<String>,
     },
-    /// Run stand-in hosts alone, until a signal.
+    /// Run simulated (stand-in) hosts without a dispatcher, until a signal.
     Standin {
-        /// JSON: {"hosts": [...]}, each host as in docs/stand-ins.md.
+        /// JSON file: {"hosts": [...]}, each host as described in docs/stand-ins.md.
         #[arg(long)]
         settings: PathBuf,
-        /// Write what each host was sent and when to this file, a JSON line each, when it is stopped.
+        /// On exit, write the requests that each host received, with times, to this file as JSON lines.
         #[arg(long)]
         seen: Option<PathBuf>,
     },
 }
 
-/// Log lines that may wait for standard error: a burst of all tasks in hand; each place takes memory from the start.
-const LINES: usize = 4096;
+/// Log lines buffered for standard error: enough for one line from every task in progress. The buffer is allocated at
+/// start.
+const LOG_BUFFER_LINES: usize = 4096;
 
-/// Log lines go through a thread of their own and are dropped, counted, rather than hold a coroutine up.
-fn log(to: &LogTo, quiet: bool) -> tracing_appender::non_blocking::WorkerGuard {
+/// Initializes logging. A separate thread writes the lines; when its buffer is full, lines are dropped and counted,
+/// so that no coroutine blocks on standard error.
+fn init_logging(options: &LogOptions, errors_only: bool) -> tracing_appender::non_blocking::WorkerGuard {
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
-        .buffered_lines_limit(LINES)
+        .buffered_lines_limit(LOG_BUFFER_LINES)
         .finish(io::stderr());
-    let level = match to.log_level {
-        _ if quiet => tracing::Level::ERROR,
+    let level = match options.log_level {
+        _ if errors_only => tracing::Level::ERROR,
         LogLevel::Error => tracing::Level::ERROR,
         LogLevel::Warn => tracing::Level::WARN,
         LogLevel::Info => tracing::Level::INFO,
         LogLevel::Debug => tracing::Level::DEBUG,
     };
-    let lines = tracing_subscriber::fmt().with_max_level(level).with_writer(writer).with_ansi(false);
-    match to.log {
-        LogForm::Text => lines.init(),
-        LogForm::Json => lines.json().flatten_event(true).init(),
+    let subscriber = tracing_subscriber::fmt().with_max_level(level).with_writer(writer).with_ansi(false);
+    match options.log {
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
     }
     guard
 }
 
-fn settings(path: &Path) -> Result<Settings, String> {
+/// Reads and validates a settings file. The error text has one line for each fault.
+fn load_settings(path: &Path) -> Result<Settings, String> {
     let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     tulipstall_settings::check(&text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect();
@@ -163,14 +167,15 @@
 }
 
 fn serve(path: &Path, record: Option<PathBuf>, addresses: Option<PathBuf>) -> Result<(), String> {
-    let settings = settings(path)?;
+    let settings = load_settings(path)?;
     set_up_coroutines(settings.workers, settings.limits.stack_bytes);
     let dispatcher = Dispatcher::start(settings, record).map_err(|error| error.to_string())?;
     if let Some(file) = addresses {
         let control = dispatcher.control().map(|address| address.to_string());
         let text = serde_json::json!({"listen": dispatcher.address().to_string(), "control": control});
-        let beside = PathBuf::from(format!("{}.new", file.display()));
-        let written = fs::write(&beside, text.to_string()).and_then(|()| fs::rename(&beside, &file));
+        // Written under another name and renamed, so that a reader never sees a partial file.
+        let temporary = PathBuf::from(format!("{}.new", file.display()));
+        let written = fs::write(&temporary, text.to_string()).and_then(|()| fs::rename(&temporary, &file));
         written.map_err(|error| format!("{}: {error}", file.display()))?;
     }
     dispatcher.run_until_signal().map_err(|error| error.to_string())
@@ -188,10 +193,14 @@
     if replay.cut_short {
         println!("the last line was cut short and left out");
     }
-    for (line, then, now) in &replay.differences {
-        println!("line {line}\n  then {then}\n  now  {now}");
+    for (line, recorded, replayed) in &replay.differences {
+        println!("line {line}\n  then {recorded}\n  now  {replayed}");
+    }
+    if replay.differences.is_empty() {
+        Ok(())
+    } else {
+        Err("the replayed actions differ from the recorded ones".to_owned())
     }
-    if replay.differences.is_empty() { Ok(()) } else { Err("the actions differ".to_owned()) }
 }
 
 fn standin(path: &Path, seen: Option<&Path>) -> Result<(), String> {
@@ -199,7 +208,7 @@
     let spec: tulipstall_rig::fleet::FleetSpec =
         serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))?;
     let fleet = tulipstall_rig::fleet::Fleet::start(&spec.hosts).map_err(|error| error.to_string())?;
-    // What can be pushed to a dispatcher as its list.
+    // The host list, in the form that can be pushed to a dispatcher.
     println!("{}", serde_json::to_string_pretty(&fleet.list()).unwrap_or_default());
     tulipstall_dispatcher::wait_for_signal().map_err(|error| error.to_string())?;
     let Some(path) = seen else { return Ok(()) };
@@ -212,22 +221,22 @@
 }
 
 #[derive(Subcommand)]
-enum IndexOf {
-    /// Sizes, and what is held and believed of each host.
+enum IndexCommand {
+    /// Print the size of the index, and for each host the indexed tokens and the confidence that it still caches them.
     Show,
-    /// What hosts hold of a prompt, read from a file.
+    /// Print how much of a prompt, read from a file, each host is estimated to cache.
     Explain {
         prompt: PathBuf,
-        /// The customer whose prompt it is, where customers are kept apart.
+        /// Customer of the prompt, if the dispatcher indexes each customer separately.
         #[arg(long)]
         customer: Option<String>,
     },
 }
 
-fn index(what: IndexOf, control: SocketAddr) -> Result<(), String> {
+fn index(what: IndexCommand, control: SocketAddr) -> Result<(), String> {
     let request = match what {
-        IndexOf::Show => format!("GET /v1/index HTTP/1.1\r\nhost: {control}\r\n\r\n"),
-        IndexOf::Explain { prompt, customer } => {
+        IndexCommand::Show => format!("GET /v1/index HTTP/1.1\r\nhost: {control}\r\n\r\n"),
+        IndexCommand::Explain { prompt, customer } => {
             let text =
                 fs::read_to_string(&prompt).map_err(|error| format!("{}: {error}", prompt.display()))?;
             let customer = customer.map(|name| format!("x-customer: {name}\r\n")).unwrap_or_default();
@@ -238,7 +247,7 @@
         }
     };
     let answer = tulipstall_rig::day::call(control, &request)
-        .ok_or_else(|| format!("{control} does not answer, or does not know opening texts by content"))?;
+        .ok_or_else(|| format!("{control} does not answer, or does not index prefixes by content"))?;
     let answer: serde_json::Value = serde_json::from_slice(&answer).map_err(|error| error.to_string())?;
     println!("{}", serde_json::to_string_pretty(&answer).unwrap_or_default());
     Ok(())
@@ -253,21 +262,21 @@
     use tulipstall_rig::day;
     let script = day::Day::read(file)?;
     let program = std::env::current_exe().map_err(|error| error.to_string())?;
-    let own = std::env::temp_dir().join(format!("tulipstall-day-{}", std::process::id()));
+    let temporary_folder = std::env::temp_dir().join(format!("tulipstall-day-{}", std::process::id()));
     if let Some((vary, window_ms)) = vary {
-        let folder = folder.as_ref().unwrap_or(&own);
+        let folder = folder.as_ref().unwrap_or(&temporary_folder);
         let mut out = io::stdout().lock();
-        let good = tulipstall_rig::vary::run(&script, &vary, window_ms, &program, folder, &mut out);
-        let _ = fs::remove_dir_all(&own);
-        return match good {
+        let passed = tulipstall_rig::vary::run(&script, &vary, window_ms, &program, folder, &mut out);
+        let _ = fs::remove_dir_all(&temporary_folder);
+        return match passed {
             Ok(true) => Ok(()),
-            Ok(false) => Err("a rule or a check failed".to_owned()),
+            Ok(false) => Err("a run failed a rule or a check".to_owned()),
             Err(error) => Err(error.to_string()),
         };
     }
-    let outcome = day::play(&script, &program, folder.as_ref().unwrap_or(&own));
+    let outcome = day::play(&script, &program, folder.as_ref().unwrap_or(&temporary_folder));
     if folder.is_none() {
-        let _ = fs::remove_dir_all(&own);
+        let _ = fs::remove_dir_all(&temporary_folder);
     }
     let outcome = outcome.map_err(|error| error.to_string())?;
     if let Some(path) = traffic {
@@ -275,20 +284,21 @@
         fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     day::report(&script, &outcome, &mut io::stdout().lock()).map_err(|error| error.to_string())?;
-    if outcome.good() { Ok(()) } else { Err("the day broke a rule or a check".to_owned()) }
+    if outcome.good() { Ok(()) } else { Err("the run failed a rule or a check".to_owned()) }
 }
 
 fn main() -> ExitCode {
     let program = Program::parse();
-    let _lines = log(&program.log, matches!(program.command, Command::Demo | Command::Day { .. }));
-    let done = match program.command {
+    let _log_guard =
+        init_logging(&program.log, matches!(program.command, Command::Demo | Command::Day { .. }));
+    let result = match program.command {
         Command::Serve { settings, record, addresses } => serve(&settings, record, addresses),
         Command::Node { config } => {
             let config = config.or_else(|| std::env::var_os("EDGE_CONFIG").map(PathBuf::from));
             let config = config.ok_or_else(|| "neither --config nor EDGE_CONFIG is given".to_owned());
             config.and_then(tulipstall_node::run)
         }
-        Command::Check { file } => settings(&file).map(|_| println!("{}: good", file.display())),
+        Command::Check { file } => load_settings(&file).map(|_| println!("{}: good", file.display())),
         Command::Schema => {
             println!("{}", serde_json::to_string_pretty(&tulipstall_settings::schema()).unwrap_or_default());
             Ok(())
@@ -297,8 +307,8 @@
         Command::Demo => {
             set_up_coroutines(None, 256 << 10);
             let mut out = io::stdout().lock();
-            let done = tulipstall_rig::demo::run(&mut out).and_then(|()| out.flush());
-            done.map_err(|error| error.to_string())
+            let result = tulipstall_rig::demo::run(&mut out).and_then(|()| out.flush());
+            result.map_err(|error| error.to_string())
         }
         Command::Index { what, control } => index(what, control),
         Command::Day { file, folder, traffic, vary, window_ms } => {
@@ -312,18 +322,18 @@
             let stream = !plain;
             let load =
                 Load { target, model, per_second, seconds, tokens, prompt_bytes, stream, key, pool: None };
-            let done = run(&load).and_then(|report| report.print(&mut io::stdout().lock()));
-            done.map_err(|error| error.to_string())
+            let result = run(&load).and_then(|report| report.print(&mut io::stdout().lock()));
+            result.map_err(|error| error.to_string())
         }
         Command::Standin { settings, seen } => {
             set_up_coroutines(None, 256 << 10);
             standin(&settings, seen.as_deref())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
