--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -38,8 +38,8 @@
         }
     };
     let serve = |id: &str| {
-        let answer = ask(address, &call(id, "Connection: close\r\n"));
-        assert!(whole(&answer, id), "{id}: {answer}");
+        let answer = exchange(address, &request_text(id, "Connection: close\r\n"));
+        assert!(is_complete_stream(&answer, id), "{id}: {answer}");
     };
     for round in 0..4 {
         press(&mut stay, SOCKETS / 2);
@@ -48,7 +48,7 @@
         }
     }
     // Back with a host that drains, after the watch that was open then has been given up.
-    registry.tell(line(&w1, "leaving"));
+    registry.publish(registry_line(&w1, "leaving"));
     thread::sleep(ms(2000));
     registry.down.store(false, Ordering::SeqCst);
     let back = Instant::now();
@@ -70,7 +70,7 @@
     while w3.calls().is_empty() {
         assert!(moved.elapsed() < ms(4000), "the move was not read");
         press(&mut stay, 10);
-        let _ = ask(address, &call(&format!("moved{i}"), "Connection: close\r\n"));
+        let _ = exchange(address, &request_text(&format!("moved{i}"), "Connection: close\r\n"));
         i += 1;
     }
     running.signal("-TERM");
@@ -93,9 +93,13 @@
     let told = |told: &str| told.replace("\"sockets\":40", "\"sockets\":512");
     let running = Running::start_with("lacks", &registry, BOUND, told).ready();
     let address = running.address;
-    script.lock().expect("no panic").extend([Does::Late(150); 200]);
+    script.lock().expect("no panic").extend([ScriptedReply::DelayMs(150); 200]);
     let asks: Vec<_> = (0..2 * BOUND)
-        .map(|i| thread::spawn(move || ask(address, &call(&format!("lacks{i:03}"), "Connection: close\r\n"))))
+        .map(|i| {
+            thread::spawn(move || {
+                exchange(address, &request_text(&format!("lacks{i:03}"), "Connection: close\r\n"))
+            })
+        })
         .collect();
     let answers: Vec<String> = asks.into_iter().map(|ask| ask.join().expect("no panic")).collect();
     assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 ")), "{answers:?}");
@@ -103,6 +107,6 @@
     assert!(log.contains("for want of something of the own machine"), "descriptors never ran short");
     assert!(!log.contains("suspected"), "{log}");
     script.lock().expect("no panic").clear();
-    let answer = ask(address, &call("after", "Connection: close\r\n"));
-    assert!(whole(&answer, "after"), "{answer}");
+    let answer = exchange(address, &request_text("after", "Connection: close\r\n"));
+    assert!(is_complete_stream(&answer, "after"), "{answer}");
 }
--- a/crates/cli/tests/held_states.rs
+++ b/crates/cli/tests/held_states.rs
@@ -55,19 +55,19 @@
             .map(|i| {
                 let id = format!("{name}{i:03}");
                 let left = format!("Remaining-Ms: {left_ms}");
-                let call = call(&id, "Connection: close\r\n").replace("Remaining-Ms: 2500", &left);
+                let call = request_text(&id, "Connection: close\r\n").replace("Remaining-Ms: 2500", &left);
                 // Over some hundred milliseconds, as clients of their own would.
                 thread::sleep(ms(4));
                 thread::spawn(move || {
                     let from = Instant::now();
-                    (ask(address, &call), id, from.elapsed())
+                    (exchange(address, &call), id, from.elapsed())
                 })
             })
             .collect();
         let mut answers = Answers::default();
         for ask in asks {
             let (answer, id, took) = ask.join().expect("no panic");
-            answers.whole += usize::from(whole(&answer, &id));
+            answers.whole += usize::from(is_complete_stream(&answer, &id));
             answers.given += usize::from(answer.starts_with("HTTP/1.1") && took <= ms(left_ms) + LATE);
         }
         answers
@@ -175,8 +175,8 @@
     for (name, faulty, fault, lasts) in [
         ("half", half, Fault::Silent, None),
         ("allbutone", all_but_one, Fault::Silent, None),
-        ("lostanswers", &WRITERS[..], Fault::LosesAnswers, None),
-        ("lostreads", &READERS[..1], Fault::LosesAnswers, None),
+        ("lostanswers", &WRITERS[..], Fault::DropsAnswers, None),
+        ("lostreads", &READERS[..1], Fault::DropsAnswers, None),
         ("silentread", &READERS[..1], Fault::Silent, None),
         ("late", &WRITERS[..], Fault::Delays, Some(ms(1500))),
         ("latehalf", half, Fault::Delays, Some(ms(900))),
@@ -210,7 +210,11 @@
     fleet.fault(&WRITERS, Fault::Silent);
     let address = fleet.running.address;
     let asks: Vec<_> = (0..20)
-        .map(|i| thread::spawn(move || ask(address, &call(&format!("stop{i:03}"), "Connection: close\r\n"))))
+        .map(|i| {
+            thread::spawn(move || {
+                exchange(address, &request_text(&format!("stop{i:03}"), "Connection: close\r\n"))
+            })
+        })
         .collect();
     thread::sleep(ms(200));
     fleet.running.signal("-TERM");
@@ -226,7 +230,7 @@
 fn a_slow_writer_keeps_its_attempts() {
     let writes = Script::default();
     let fleet = Fleet::start("slow", UNSAFE, &writes);
-    writes.lock().expect("no panic").extend([Does::Late(1600); REQUESTS]);
+    writes.lock().expect("no panic").extend([ScriptedReply::DelayMs(1600); REQUESTS]);
     let answers = fleet.send("slow", REQUESTS, 2500);
     assert_eq!(answers.whole, REQUESTS, "{answers:?}");
     for (id, arrivals) in fleet.arrivals("slow") {
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -1,7 +1,7 @@
 //! The program as the platform starts it: a process with its configuration in a file, signals, its end.
 #![allow(dead_code)] // each test file uses its part
 
-use crate::platform::{Registry, ask, config};
+use crate::platform::{Registry, config, exchange};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -74,7 +74,7 @@
     pub fn ready(mut self) -> Running {
         let ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let address = self.address;
-        self.until("never ready", ms(10_000), || ask(address, ready).starts_with("HTTP/1.1 200"));
+        self.until("never ready", ms(10_000), || exchange(address, ready).starts_with("HTTP/1.1 200"));
         self
     }
 
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -47,9 +47,9 @@
                 if !matches!(before, Starting) {
                     running = running.ready();
                     // Its answer ends some 1.2 s after the stop was asked for.
-                    w1.does(&[Does::Pauses(1300)]);
+                    w1.script_replies(&[ScriptedReply::PauseMs(1300)]);
                     let mut asked = connect(running.address);
-                    asked.write_all(call("owed", CLOSE).as_bytes()).expect("a call");
+                    asked.write_all(request_text("owed", CLOSE).as_bytes()).expect("a call");
                     thread::sleep(ms(100));
                     stream = Some(asked);
                 }
@@ -78,7 +78,7 @@
                 if let Some(mut stream) = stream {
                     let mut answer = String::new();
                     let _ = std::io::Read::read_to_string(&mut stream, &mut answer);
-                    assert!(whole(&answer, "owed"), "{before:?}: {answer}");
+                    assert!(is_complete_stream(&answer, "owed"), "{before:?}: {answer}");
                 }
             });
         }
@@ -118,8 +118,8 @@
                 let next = Registry::start(&[&r1, &w1, &w2]);
                 let mut running = Running::start(&format!("moves{i}"), &registry, 256).ready();
                 let serve = |id: &str| {
-                    let answer = ask(running.address, &call(id, CLOSE));
-                    assert!(whole(&answer, id), "{crosses:?}: {answer}");
+                    let answer = exchange(running.address, &request_text(id, CLOSE));
+                    assert!(is_complete_stream(&answer, id), "{crosses:?}: {answer}");
                 };
                 (0..10).for_each(|k| serve(&format!("before{k}")));
                 let moved = running.told_of(&registry, &next);
@@ -127,7 +127,7 @@
                     running.write(text);
                     running.signal("-HUP");
                 };
-                next.tell(line(&w1, "leaving"));
+                next.publish(registry_line(&w1, "leaving"));
                 let mut told = Instant::now();
                 match crosses {
                     Nothing => whole_file(&moved),
@@ -155,12 +155,12 @@
                     }
                     Stop => {
                         // Reads that end after the move: where each answer is written is decided only then.
-                        r1.does(&[Does::Late(1500); 8]);
+                        r1.script_replies(&[ScriptedReply::DelayMs(1500); 8]);
                         let answers: Vec<_> = (0..8)
                             .map(|k| {
                                 let mut stream = connect(running.address);
                                 stream
-                                    .write_all(call(&format!("reads{k}"), CLOSE).as_bytes())
+                                    .write_all(request_text(&format!("reads{k}"), CLOSE).as_bytes())
                                     .expect("a call");
                                 stream
                             })
@@ -174,7 +174,7 @@
                         for (k, mut stream) in answers.into_iter().enumerate() {
                             let mut answer = String::new();
                             let _ = std::io::Read::read_to_string(&mut stream, &mut answer);
-                            assert!(whole(&answer, &format!("reads{k}")), "{answer}");
+                            assert!(is_complete_stream(&answer, &format!("reads{k}")), "{answer}");
                         }
                         assert!(last_after(&w1, told) < ms(800), "{:?}", last_after(&w1, told));
                         return;
--- a/crates/node/tests/acceptance.rs
+++ b/crates/node/tests/acceptance.rs
@@ -31,7 +31,7 @@
 }
 
 fn fill(host: &Host) -> Vec<std::io::Result<TcpStream>> {
-    host.shut.store(true, Ordering::SeqCst);
+    host.accept_paused.store(true, Ordering::SeqCst);
     // The one that is accepted, the one that waits, and one that shows that no more do.
     (0..4).map(|_| TcpStream::connect_timeout(&host.address, ms(50))).collect()
 }
@@ -40,7 +40,7 @@
 /// to one whose client leaves meanwhile.
 #[test]
 fn nothing_begins_late_over_a_connection_that_comes_up_late() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     // When the client leaves, and for how long after the first half second the core is taken by others.
     for (name, window_us, leaves, taken, sends) in [
         ("the window is over", 600_000, None, 0, 1),
@@ -53,16 +53,17 @@
         let registry = Registry::start(&[&r1, &w1]);
         let keyed = format!("\"Idempotency\":\"token\",\"WindowUs\":{window_us}");
         let config = config(&registry, 256, 1).replace("\"Idempotency\":\"pure\"", &keyed);
-        let node = node_with(&config.replace("\"ConnectTimeoutUs\":250000", "\"ConnectTimeoutUs\":2000000"));
-        w1.does(&[Does::BreaksIn(200)]);
+        let node =
+            start_node_with(&config.replace("\"ConnectTimeoutUs\":250000", "\"ConnectTimeoutUs\":2000000"));
+        w1.script_replies(&[ScriptedReply::DisconnectAfterMs(200)]);
         let mut stream = connect(node.address());
-        stream.write_all(call("keyed", CLOSE).as_bytes()).expect("a call");
+        stream.write_all(request_text("keyed", CLOSE).as_bytes()).expect("a call");
         thread::sleep(ms(100));
         assert_eq!(posts(&w1, "keyed").len(), 1, "{name}: the first attempt");
         let queue = fill(&w1);
         thread::sleep(ms(400));
         drop(queue);
-        w1.shut.store(false, Ordering::SeqCst);
+        w1.accept_paused.store(false, Ordering::SeqCst);
         tulipstall_net::spawn(move || {
             let until = Instant::now() + ms(taken);
             while Instant::now() < until {
@@ -76,8 +77,11 @@
         } else {
             let mut answer = String::new();
             let _ = stream.read_to_string(&mut answer);
-            let wanted =
-                if sends == 2 { whole(&answer, "keyed") } else { answer.starts_with("HTTP/1.1 503") };
+            let wanted = if sends == 2 {
+                is_complete_stream(&answer, "keyed")
+            } else {
+                answer.starts_with("HTTP/1.1 503")
+            };
             assert!(wanted, "{name}: {answer}");
         }
         assert_eq!(posts(&w1, "keyed").len(), sends, "{name}");
@@ -87,25 +91,30 @@
 /// Clients that leave, whatever they have sent and wherever their request waits: no attempt for them begins later.
 #[test]
 fn nothing_begins_for_a_client_that_has_left() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
-    let many = |id: &str, n: usize| (0..n).map(|i| call(&format!("{id}{i}"), "")).collect::<String>();
+    let many = |id: &str, n: usize| (0..n).map(|i| request_text(&format!("{id}{i}"), "")).collect::<String>();
     // What is sent at once; what the writers do with the first; how many requests may reach a host at all.
     let cases = [
-        ("two behind a long one", many("two", 3), Does::Pauses(700), 1),
-        ("hundreds at once", many("flood", 300), Does::Pauses(700), 1),
+        ("two behind a long one", many("two", 3), ScriptedReply::PauseMs(700), 1),
+        ("hundreds at once", many("flood", 300), ScriptedReply::PauseMs(700), 1),
         (
             "junk behind one that breaks",
-            call("junk0", "") + "no request at all\r\n\r\n",
-            Does::BreaksIn(500),
+            request_text("junk0", "") + "no request at all\r\n\r\n",
+            ScriptedReply::DisconnectAfterMs(500),
+            1,
+        ),
+        (
+            "half a one behind one that breaks",
+            request_text("half0", "") + "POST /v1",
+            ScriptedReply::DisconnectAfterMs(500),
             1,
         ),
-        ("half a one behind one that breaks", call("half0", "") + "POST /v1", Does::BreaksIn(500), 1),
     ];
     for (name, text, does, most) in cases {
         let id: String =
             text.split("X-Txn: ").nth(1).expect("an id").chars().take_while(|c| c.is_alphabetic()).collect();
-        p.w1.does(&[does]);
+        p.w1.script_replies(&[does]);
         let mut stream = connect(address);
         let _ = stream.write_all(text.as_bytes());
         thread::sleep(ms(150));
@@ -130,7 +139,7 @@
 /// clients ask and leave at once. Each shot looks for itself.
 #[test]
 fn at_a_loaded_core_nothing_begins_for_clients_that_have_left() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
     let over = Arc::new(AtomicBool::new(false));
     for _ in 0..3 {
@@ -151,7 +160,7 @@
                 thread::sleep(ms(i * 17));
                 let id = format!("loaded{i:03}");
                 let mut stream = connect(address);
-                let _ = stream.write_all(call(&id, "").as_bytes());
+                let _ = stream.write_all(request_text(&id, "").as_bytes());
                 thread::sleep(ms(i * 7 % 60));
                 drop(stream);
                 (id, Instant::now())
@@ -176,17 +185,17 @@
 /// However a registry fails a call or two, in either mode: a drain is heard before it counts as told, with the grace.
 #[test]
 fn a_drain_is_heard_whatever_call_of_the_registry_fails() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    use Fails::*;
-    let cases: [&[Fails]; 8] = [
-        &[Silent],
-        &[Trickles],
-        &[Resets],
-        &[Rubbish],
-        &[Older],
-        &[Silent, Silent],
-        &[Silent, Resets, Rubbish],
-        &[Trickles, Older],
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
+    use RegistryFault::*;
+    let cases: [&[RegistryFault]; 8] = [
+        &[NoAnswer],
+        &[SlowBody],
+        &[Disconnect],
+        &[MalformedJson],
+        &[FirstList],
+        &[NoAnswer, NoAnswer],
+        &[NoAnswer, Disconnect, MalformedJson],
+        &[SlowBody, FirstList],
     ];
     thread::scope(|scope| {
         for mode in ["pushed", "on_request"] {
@@ -199,16 +208,16 @@
                     let registry = Registry::start(&[&r1, &w1, &w2]);
                     let config = config(&registry, 1024, 1);
                     let told = format!("\"settings\":{{\"RegistryMode\":\"{mode}\",\"Rules\":{{\"StopSendingWithinUs\":250000}},");
-                    let node = node_with(&config.replace("\"settings\":{", &told));
+                    let node = start_node_with(&config.replace("\"settings\":{", &told));
                     let serve = |id: &str| {
-                        let answer = ask(node.address(), &call(id, CLOSE));
-                        assert!(whole(&answer, id), "{name}: {answer}");
+                        let answer = exchange(node.address(), &request_text(id, CLOSE));
+                        assert!(is_complete_stream(&answer, id), "{name}: {answer}");
                     };
                     serve("first");
                     // The watch that is open, and what follows it.
                     registry.script.lock().expect("no panic").extend(fails);
                     thread::sleep(ms(600));
-                    registry.tell(line(&w1, "leaving"));
+                    registry.publish(registry_line(&w1, "leaving"));
                     let had = Instant::now();
                     for i in 0.. {
                         serve(&format!("then{i}"));
@@ -231,14 +240,18 @@
 /// An answer that is older than one before opens no host again that was told to drain since.
 #[test]
 fn an_older_list_opens_no_host_again() {
-    let p = platform(256);
-    p.registry.tell(line(&p.w1, "leaving"));
+    let p = start_platform(256);
+    p.registry.publish(registry_line(&p.w1, "leaving"));
     thread::sleep(ms(200));
     let told = Instant::now();
-    p.registry.script.lock().expect("no panic").extend([Fails::Resets, Fails::Older, Fails::Silent]);
+    p.registry.script.lock().expect("no panic").extend([
+        RegistryFault::Disconnect,
+        RegistryFault::FirstList,
+        RegistryFault::NoAnswer,
+    ]);
     for i in 0..100 {
         let id = format!("older{i:03}");
-        assert!(whole(&ask(p.node.address(), &call(&id, CLOSE)), &id));
+        assert!(is_complete_stream(&exchange(p.node.address(), &request_text(&id, CLOSE)), &id));
         thread::sleep(ms(10));
     }
     assert!(p.registry.script.lock().expect("no panic").is_empty(), "the older lists were told");
@@ -250,7 +263,7 @@
 #[test]
 fn requests_that_cross_the_end_of_their_connection_are_answered_or_never_taken() {
     for round in 0..3 {
-        let p = platform(512);
+        let p = start_platform(512);
         let address = p.node.address();
         let resting: Vec<TcpStream> = (0..60)
             .map(|_| {
@@ -270,7 +283,7 @@
                     thread::sleep(
                         (ms(440) + Duration::from_micros(i as u64 * 400)).saturating_sub(from.elapsed()),
                     );
-                    let _ = stream.write_all(call(&id, "").as_bytes());
+                    let _ = stream.write_all(request_text(&id, "").as_bytes());
                     let mut answer = Vec::new();
                     let _ = stream.read_to_end(&mut answer);
                     (id, String::from_utf8_lossy(&answer).into_owned())
@@ -282,10 +295,10 @@
         });
         for (id, answer) in &answers {
             let sent = [&p.r1, &p.w1, &p.w2].into_iter().any(|host| !posts(host, id).is_empty());
-            let answered = whole(answer, id) || answer.starts_with("HTTP/1.1 503");
+            let answered = is_complete_stream(answer, id) || answer.starts_with("HTTP/1.1 503");
             assert!(answered || (answer.is_empty() && !sent), "{id}: sent {sent}, {answer:?}");
         }
-        let answered = answers.iter().filter(|(id, answer)| whole(answer, id)).count();
+        let answered = answers.iter().filter(|(id, answer)| is_complete_stream(answer, id)).count();
         assert!((1..60).contains(&answered), "the stop came between them: {answered}");
     }
 }
@@ -293,11 +306,11 @@
 /// An answer that ends a connection arrives whole, though its client has sent more that nobody reads.
 #[test]
 fn an_answer_is_not_cut_off_by_what_its_client_sent_beyond() {
-    let p = platform(256);
+    let p = start_platform(256);
     for i in 0..10 {
         // A new id each time: one that was taken is nobody's any more.
-        let text = call(&format!("last{i}"), CLOSE) + &"x".repeat(20_000);
-        p.w1.does(&[Does::Long(2500)]);
+        let text = request_text(&format!("last{i}"), CLOSE) + &"x".repeat(20_000);
+        p.w1.script_replies(&[ScriptedReply::ManyEvents(2500)]);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         // What does not fit here waits at the dispatcher's socket.
         let _ = socket.set_recv_buffer_size(4096);
@@ -317,25 +330,28 @@
 /// that is seen to be cut; never one that seems whole.
 #[test]
 fn answers_cut_at_every_byte_never_seem_whole() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
     // A reader's answer and a writer's, with room for both to be longer than thought.
     for (host, longest) in [(&p.r1, 80), (&p.w1, 420)] {
         let (mut whole_ones, mut cut) = (0, 0);
         for bytes in 0..longest {
-            host.does(&[Does::Cut(bytes)]);
+            host.script_replies(&[ScriptedReply::TruncateAt(bytes)]);
             let id = format!("cut{}x{bytes:03}", host.name);
             let from = Instant::now();
-            let answer = ask(address, &call(&id, CLOSE));
+            let answer = exchange(address, &request_text(&id, CLOSE));
             assert!(from.elapsed() < ms(1500), "{id}: {:?}", from.elapsed());
             let seen = answer.starts_with("HTTP/1.1 200") && !answer.ends_with("0\r\n\r\n");
-            assert!(whole(&answer, &id) || seen || answer.starts_with("HTTP/1.1 503"), "{id}: {answer}");
+            assert!(
+                is_complete_stream(&answer, &id) || seen || answer.starts_with("HTTP/1.1 503"),
+                "{id}: {answer}"
+            );
             // Answers earn what a further attempt costs: without, each cut one would be waited for.
             for i in 0..5 {
                 let id = format!("good{}x{bytes:03}x{i}", host.name);
-                assert!(whole(&ask(address, &call(&id, CLOSE)), &id), "{id}");
+                assert!(is_complete_stream(&exchange(address, &request_text(&id, CLOSE)), &id), "{id}");
             }
-            whole_ones += usize::from(whole(&answer, &id));
+            whole_ones += usize::from(is_complete_stream(&answer, &id));
             cut += usize::from(seen);
             host.script.lock().expect("no panic").clear();
         }
@@ -350,7 +366,7 @@
 /// Ready though the registry says nothing, its list is long and old, and clients already press.
 #[test]
 fn ready_with_a_silent_registry_a_long_list_and_clients_that_press() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let script = Script::default();
     let (r1, w1) = (Host::start("r1", &script), Host::start("w1", &script));
     let registry = Registry::start(&[&r1, &w1]);
@@ -358,7 +374,7 @@
     let hosts: Vec<String> = (0..1024)
         .map(|i| {
             let host = if i % 2 == 0 { &r1 } else { &w1 };
-            line(
+            registry_line(
                 &Host { name: Box::leak(format!("{}{i}", host.name).into_boxed_str()), ..host.clone() },
                 "active",
             )
@@ -381,7 +397,7 @@
                     }
                     if let Ok(mut stream) = TcpStream::connect(address) {
                         let _ = stream.set_read_timeout(Some(ms(300)));
-                        let text = call(&format!("press{i}x{k}"), CLOSE);
+                        let text = request_text(&format!("press{i}x{k}"), CLOSE);
                         let _ = stream.write_all(if i % 3 == 0 {
                             &text.as_bytes()[..50]
                         } else {
@@ -394,7 +410,7 @@
             });
         }
         let from = Instant::now();
-        let node = node_with(&config);
+        let node = start_node_with(&config);
         let took = from.elapsed();
         over.store(true, Ordering::SeqCst);
         println!("ready after {took:?}");
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -39,14 +39,14 @@
 
 /// Whether it is a whole stream, or says that it is harmless to ask again.
 fn answered(answer: &str, id: &str) -> bool {
-    whole(answer, id) || answer.starts_with("HTTP/1.1 503")
+    is_complete_stream(answer, id) || answer.starts_with("HTTP/1.1 503")
 }
 
 /// A stop finds requests at every point before they are whole. Each that becomes whole on a connection that was there
 /// has its answer: what does in the time in which all is taken is served, later ones are told at once to ask again.
 #[test]
 fn a_stop_loses_no_request_that_is_not_whole_yet() {
-    let p = platform(512);
+    let p = start_platform(512);
     let address = p.node.address();
     // When the connection comes up, the first bytes and the last come, in ms from the stop on (less than 0: before it);
     // how many bytes come first; whether it is served.
@@ -66,7 +66,7 @@
         let asks = cases.iter().enumerate().map(|(i, (name, up, first, last, bytes, served))| {
             scope.spawn(move || {
                 let id = format!("half{i}");
-                let text = call(&id, "");
+                let text = request_text(&id, "");
                 sleep_until(at(*up));
                 let mut stream = connect(address);
                 let _ = stream.set_nodelay(true);
@@ -87,7 +87,7 @@
     });
     for (name, id, served, good, answer, took) in answers {
         assert!(good && answered(&answer, &id), "{name}: {good} {answer:?}");
-        assert!(whole(&answer, &id) == served, "{name}: {answer:?}");
+        assert!(is_complete_stream(&answer, &id) == served, "{name}: {answer:?}");
         assert!(took < ms(400), "{name}: {took:?}");
     }
     assert!(from.elapsed() < ms(3000), "the stop waits for nobody else: {:?}", from.elapsed());
@@ -96,7 +96,7 @@
 /// A stop closes the listener while the core is taken by others: what the system had accepted until then is answered.
 #[test]
 fn a_stop_answers_what_the_system_had_accepted() {
-    let p = platform(512);
+    let p = start_platform(512);
     let address = p.node.address();
     let from = Instant::now();
     let answers: Vec<(String, String, bool)> = thread::scope(|scope| {
@@ -106,7 +106,7 @@
                 // Before the listener closes, 450 ms after the stop; nobody accepts from 350 ms to 700 ms.
                 sleep_until(from + ms(380 + i));
                 let mut stream = connect(address);
-                let _ = stream.write_all(call(&id, CLOSE).as_bytes());
+                let _ = stream.write_all(request_text(&id, CLOSE).as_bytes());
                 let (answer, good) = rest(&mut stream);
                 (id, answer, good)
             })
@@ -129,18 +129,18 @@
 /// request has its time from there on.
 #[test]
 fn an_answer_is_not_cut_off_by_part_of_the_next_request() {
-    let p = platform(256);
+    let p = start_platform(256);
     // Pauses of the first answer; when the rest of the next request comes, if at all.
     for (i, (pause, rest_at)) in
         [(3000, Some(3300)), (2600, None), (1000, Some(2500))].into_iter().enumerate()
     {
         let (first, next) = (format!("part{i}a"), format!("part{i}b"));
-        p.w1.does(&[Does::Pauses(pause)]);
+        p.w1.script_replies(&[ScriptedReply::PauseMs(pause)]);
         let mut stream = connect(p.node.address());
-        let text = call(&next, CLOSE);
+        let text = request_text(&next, CLOSE);
         let (before, after) = text.split_at(40);
         let from = Instant::now();
-        stream.write_all((call(&first, "") + before).as_bytes()).expect("a request and a part");
+        stream.write_all((request_text(&first, "") + before).as_bytes()).expect("a request and a part");
         let mut late = stream.try_clone().expect("a second hold");
         let after = after.to_owned();
         let writes = thread::spawn(move || {
@@ -152,9 +152,9 @@
         let (answer, _) = rest(&mut stream);
         writes.join().expect("no panic");
         let end = answer.find("0\r\n\r\n").map_or(0, |at| at + 5);
-        assert!(whole(&answer[..end], &first), "{first}: {answer}");
+        assert!(is_complete_stream(&answer[..end], &first), "{first}: {answer}");
         match rest_at {
-            Some(_) => assert!(whole(&answer[end..], &next), "{next}: {answer}"),
+            Some(_) => assert!(is_complete_stream(&answer[end..], &next), "{next}: {answer}"),
             // Nothing more comes of it: it ends in the time that a request may take.
             None => assert!(from.elapsed() < ms(pause + 2600), "{:?}", from.elapsed()),
         }
@@ -166,16 +166,16 @@
 #[test]
 fn a_stream_of_a_host_that_goes_meanwhile_ends_sooner() {
     for (name, tells_after) in [("before the wait", 0), ("in the wait", 500)] {
-        let p = platform(256);
-        p.w1.does(&[Does::Pauses(20_000)]);
+        let p = start_platform(256);
+        p.w1.script_replies(&[ScriptedReply::PauseMs(20_000)]);
         let mut stream = connect(p.node.address());
-        stream.write_all(call("goes", "").as_bytes()).expect("a call");
+        stream.write_all(request_text("goes", "").as_bytes()).expect("a call");
         let mut head = [0; 16];
         stream.read_exact(&mut head).expect("it begins");
         let from = Instant::now();
         thread::sleep(ms(tells_after));
         let at = if p.w1.calls().is_empty() { &p.w2 } else { &p.w1 };
-        p.registry.tell(line(at, "left"));
+        p.registry.publish(registry_line(at, "left"));
         let (answer, _) = rest(&mut stream);
         let took = from.elapsed();
         assert!(!answer.ends_with("0\r\n\r\n"), "{name}: {answer}");
@@ -186,7 +186,7 @@
 /// Where clients may not be told when to come back nobody tells them, whoever refuses.
 #[test]
 fn advice_is_given_where_it_may_be_and_no_longer_than_clients_take() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     for (told, advised) in [
         ("\"RetryAfter\":false,\"MaxRetryAfterUs\":1000000", None),
         ("\"MaxRetryAfterUs\":1000000", None),
@@ -198,19 +198,19 @@
         let registry = Registry::start(&[&r1, &w1]);
         // Room for eight sockets: three requests at once.
         let config = config(&registry, 32, 1);
-        let node = node_with(&config.replace("\"RetryAfter\":true,\"MaxRetryAfterUs\":1000000", told));
-        script.lock().expect("no panic").extend([Does::Silent; 8]);
+        let node = start_node_with(&config.replace("\"RetryAfter\":true,\"MaxRetryAfterUs\":1000000", told));
+        script.lock().expect("no panic").extend([ScriptedReply::NoAnswer; 8]);
         let mut answers = Vec::new();
         let mut held = Vec::new();
         for i in 0..4 {
             let mut stream = connect(node.address());
-            let _ = stream.write_all(call(&format!("many{i}"), "").as_bytes());
+            let _ = stream.write_all(request_text(&format!("many{i}"), "").as_bytes());
             thread::sleep(ms(30));
             held.push(stream);
         }
         answers.push(("too many", rest(&mut held[3]).0));
         let mut late = connect(node.address());
-        let text = call("late", "");
+        let text = request_text("late", "");
         let _ = late.write_all(&text.as_bytes()[..50]);
         let stops = thread::spawn(move || {
             node.stop();
@@ -235,16 +235,18 @@
 /// and whoever does not read beside them.
 #[test]
 fn events_are_passed_on_as_they_come() {
-    let p = platform(1024);
+    let p = start_platform(1024);
     let address: SocketAddr = p.node.address();
     // A client that never reads, its host's stream far larger than what the sockets between them hold.
-    p.w1.does(&[Does::Long(60_000)]);
+    p.w1.script_replies(&[ScriptedReply::ManyEvents(60_000)]);
     let mut slow = connect(address);
-    slow.write_all(call("slow", "").as_bytes()).expect("a call");
+    slow.write_all(request_text("slow", "").as_bytes()).expect("a call");
     thread::sleep(ms(200));
     let streams = 100;
-    let wrote = [Wrote::Whole, Wrote::InPieces, Wrote::ByTwo];
-    p.w1.does(&(0..streams).map(|i| Does::Timed(40, 30, wrote[i % 3])).collect::<Vec<_>>());
+    let wrote = [EventFraming::OnePerChunk, EventFraming::SmallPieces, EventFraming::TwoPerChunk];
+    p.w1.script_replies(
+        &(0..streams).map(|i| ScriptedReply::TimedEvents(40, 30, wrote[i % 3])).collect::<Vec<_>>(),
+    );
     let (results, all) = mpsc::channel();
     for i in 0..streams {
         let results = results.clone();
@@ -252,7 +254,7 @@
             thread::sleep(ms(i as u64 * 2));
             let id = format!("timed{i:03}");
             let mut stream = connect(address);
-            let _ = stream.write_all(call(&id, CLOSE).as_bytes());
+            let _ = stream.write_all(request_text(&id, CLOSE).as_bytes());
             let (mut answer, mut buffer, mut late, mut lumps) = (Vec::new(), [0; 16_384], 0, 0);
             while let Ok(got) = stream.read(&mut buffer) {
                 if got == 0 {
@@ -296,10 +298,10 @@
 /// A client that ends only its sending has left, as the platform has it: its connection ends, and nothing begins later.
 #[test]
 fn a_client_that_ends_its_sending_has_left() {
-    let p = platform(256);
-    p.r1.does(&[Does::BreaksIn(400)]);
+    let p = start_platform(256);
+    p.r1.script_replies(&[ScriptedReply::DisconnectAfterMs(400)]);
     let mut stream = connect(p.node.address());
-    stream.write_all(call("ends", "").as_bytes()).expect("a call");
+    stream.write_all(request_text("ends", "").as_bytes()).expect("a call");
     thread::sleep(ms(100));
     stream.shutdown(Shutdown::Write).expect("a half close");
     let from = Instant::now();
@@ -314,7 +316,7 @@
 /// other: each request has the class, the deadline and the effect of its own.
 #[test]
 fn nothing_of_one_customer_reaches_another() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let class = |name: &str, stop_ms: u64, effect: &str| {
         format!(
             "{{\"Name\":\"{name}\",\"TargetUs\":400000,\"HardLimitUs\":{},\"Idempotency\":\"{effect}\",\"Group\":\"all\",\"WindowUs\":5000000}}",
@@ -332,7 +334,7 @@
         let (head, _) = told.split_once("\"Profiles\":").expect("classes");
         let config =
             format!("{head}\"Accounts\":[{}],\"Profiles\":[{}]}}}}", accounts.join(","), classes.join(","));
-        (node_with(&config), script, w1, w2)
+        (start_node_with(&config), script, w1, w2)
     };
     // The same names in another order, with other effects and deadlines.
     let one = start(
@@ -348,9 +350,10 @@
         &["token", "chat", "säge"],
     );
     let ask_as = |node: &tulipstall_node::Node, id: &str, class: &str, org: &str| {
-        let text = call(id, CLOSE).replace("X-Lane: chat", &format!("X-Lane: {class}\r\nX-Org: {org}"));
+        let text =
+            request_text(id, CLOSE).replace("X-Lane: chat", &format!("X-Lane: {class}\r\nX-Org: {org}"));
         let from = Instant::now();
-        (ask(node.address(), &text), from.elapsed())
+        (exchange(node.address(), &text), from.elapsed())
     };
     for (round, org) in ["säge", "säge-süd", "token", "nobody's"].into_iter().enumerate() {
         for (n, (node, script, w1, w2), classes) in [
@@ -362,13 +365,20 @@
             for (class, stop, repeats) in classes {
                 let id = format!("c{n}{class}{round}");
                 let (answer, _) = ask_as(node, &id, class, org);
-                assert!(whole(&answer, &id), "{n} {class} {org}: {answer}");
+                assert!(is_complete_stream(&answer, &id), "{n} {class} {org}: {answer}");
                 // Its writer breaks: it is repeated where its own effect allows that, and has one answer.
-                script.lock().expect("no panic").extend([Does::Ahead(""), Does::Breaks]);
+                script
+                    .lock()
+                    .expect("no panic")
+                    .extend([ScriptedReply::Prefixed(""), ScriptedReply::Disconnect]);
                 let id = format!("b{n}{class}{round}");
                 let (answer, _) = ask_as(node, &id, class, org);
                 assert!(
-                    if repeats { whole(&answer, &id) } else { answer.starts_with("HTTP/1.1 500") },
+                    if repeats {
+                        is_complete_stream(&answer, &id)
+                    } else {
+                        answer.starts_with("HTTP/1.1 500")
+                    },
                     "{n} {class} {org}: {answer}"
                 );
                 let sent: Vec<_> = [w1, w2].into_iter().flat_map(|host| host.calls()).collect();
@@ -376,7 +386,7 @@
                 assert_eq!(sent, 1 + usize::from(repeats), "{n} {class} {org}");
                 // Nobody answers: it has its answer by its own deadline.
                 if round == 0 {
-                    script.lock().expect("no panic").extend([Does::Silent; 12]);
+                    script.lock().expect("no panic").extend([ScriptedReply::NoAnswer; 12]);
                     let (answer, took) = ask_as(node, &format!("s{n}{class}{round}"), class, org);
                     assert!(answer.starts_with("HTTP/1.1 50"), "{n} {class}: {answer}");
                     assert!(took < ms(stop + 100), "{n} {class} {org}: {took:?}");
@@ -402,23 +412,23 @@
 /// told: the state is let go of in time by whoever answers next.
 #[test]
 fn a_release_outlasts_whoever_does_not_answer_it() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let script = Script::default();
     let (r1, w1) = (Host::start("r1", &script), Host::start("w1", &Script::default()));
     let registry = Registry::start(&[&r1, &w1]);
-    let node = node(&registry, 256);
-    assert!(whole(&ask(node.address(), &call("warm", CLOSE)), "warm"));
+    let node = start_node(&registry, 256);
+    assert!(is_complete_stream(&exchange(node.address(), &request_text("warm", CLOSE)), "warm"));
     // The client leaves as its read ends; in that moment no host on the list runs.
-    w1.does(&[Does::Silent]);
+    w1.script_replies(&[ScriptedReply::NoAnswer]);
     let mut stream = connect(node.address());
-    stream.write_all(call("held", "").as_bytes()).expect("a call");
+    stream.write_all(request_text("held", "").as_bytes()).expect("a call");
     thread::sleep(ms(100));
-    registry.tell([line(&r1, "leaving"), line(&w1, "leaving")].join(","));
+    registry.publish([registry_line(&r1, "leaving"), registry_line(&w1, "leaving")].join(","));
     thread::sleep(ms(100));
     drop(stream);
     let from = Instant::now();
     thread::sleep(ms(300));
-    registry.tell([line(&r1, "active"), line(&w1, "active")].join(","));
+    registry.publish([registry_line(&r1, "active"), registry_line(&w1, "active")].join(","));
     thread::sleep(ms(900));
     let told = |host: &Host| {
         host.calls().into_iter().find(|(call, ..)| call.starts_with("DELETE") && call.ends_with("/held"))
@@ -432,18 +442,20 @@
 /// A key by which hosts know repeats goes with every attempt as it came, to readers and writers alike; two are none.
 #[test]
 fn a_key_goes_with_every_attempt() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
     for (i, key) in
         [Some("55eea92578f58952cd886e01772b8d3e"), Some("\"a b; c\""), None].into_iter().enumerate()
     {
-        p.w1.does(&[Does::Breaks]);
+        p.w1.script_replies(&[ScriptedReply::Disconnect]);
         let id = format!("keyed{i}");
         let more = key.map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
-        let answer = ask(address, &call(&id, &(more + CLOSE)));
-        assert!(whole(&answer, &id), "{answer}");
+        let answer = exchange(address, &request_text(&id, &(more + CLOSE)));
+        assert!(is_complete_stream(&answer, &id), "{answer}");
         for (hosts, attempts) in [(&[&p.r1][..], 1), (&[&p.w1, &p.w2], 2)] {
-            let seen = hosts.iter().flat_map(|host| host.seen.lock().expect("no panic").keys.clone());
+            let seen = hosts
+                .iter()
+                .flat_map(|host| host.received.lock().expect("no panic").idempotency_keys.clone());
             let keys: Vec<_> = seen.filter(|(by, _)| *by == id).map(|(_, key)| key).collect();
             assert!(
                 keys.len() >= attempts && keys.iter().all(|seen| seen.as_deref() == key),
@@ -451,15 +463,15 @@
             );
         }
     }
-    let two = call("two", "Idempotency-Key: a\r\nIdempotency-Key: b\r\n");
-    assert!(ask(address, &two).starts_with("HTTP/1.1 400"));
+    let two = request_text("two", "Idempotency-Key: a\r\nIdempotency-Key: b\r\n");
+    assert!(exchange(address, &two).starts_with("HTTP/1.1 400"));
 }
 
 /// Processes that all lose a registry which takes few new calls at once, where lists are asked for: none is refused for
 /// long, as whoever is refused or not heard presses less and less, and what drains then is heard by all.
 #[test]
 fn a_registry_that_refuses_is_not_pressed_until_it_refuses_all() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     const PROCESSES: usize = 24;
     const TAKES: usize = 12;
     let script = Script::default();
@@ -467,7 +479,7 @@
     let registry = Registry::start(&[&r1, &w1, &w2]);
     let known = format!(
         "\"known\":{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}},\"settings\":{{",
-        [&r1, &w1, &w2].map(|host| line(host, "active")).join(",")
+        [&r1, &w1, &w2].map(|host| registry_line(host, "active")).join(",")
     );
     let nodes: Vec<_> = (0..PROCESSES)
         .map(|me| {
@@ -482,9 +494,9 @@
         .collect();
     thread::sleep(ms(1500));
     // All watches end at once, and what follows is bounded.
-    registry.takes.store(TAKES, Ordering::SeqCst);
+    registry.max_new_calls_per_s.store(TAKES, Ordering::SeqCst);
     registry.new_calls.lock().expect("no panic").clear();
-    registry.script.lock().expect("no panic").extend([Fails::Resets; PROCESSES]);
+    registry.script.lock().expect("no panic").extend([RegistryFault::Disconnect; PROCESSES]);
     let lost = Instant::now();
     thread::sleep(ms(8000));
     let calls = registry.new_calls.lock().expect("no panic").clone();
@@ -493,12 +505,12 @@
     println!("{} calls taken, {} refused in 8 s", taken, refused);
     assert!(taken >= PROCESSES && calls.len() < 6 * PROCESSES, "{} taken, {} refused", taken, refused);
     // Whoever was refused is heard of again: nothing is asked anew any more.
-    registry.tell(line(&w1, "leaving"));
+    registry.publish(registry_line(&w1, "leaving"));
     thread::sleep(ms(300));
     for (me, node) in nodes.iter().enumerate() {
         for i in 0..8 {
             let id = format!("heard{me}x{i}");
-            assert!(whole(&ask(node.address(), &call(&id, CLOSE)), &id), "{id}");
+            assert!(is_complete_stream(&exchange(node.address(), &request_text(&id, CLOSE)), &id), "{id}");
         }
     }
     let late =
@@ -515,22 +527,22 @@
 /// again is harmless, also while the process stops.
 #[test]
 fn nobody_else_asks_by_an_id_that_was_taken() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     for stops in [false, true] {
         let script = Script::default();
         let (r1, w1) = (Host::start("r1", &Script::default()), Host::start("w1", &script));
         let registry = Registry::start(&[&r1, &w1]);
         let told =
             config(&registry, 256, 1).replace("\"Idempotency\":\"pure\"", "\"Idempotency\":\"side_effect\"");
-        let node = Arc::new(node_with(&told));
+        let node = Arc::new(start_node_with(&told));
         let address = node.address();
         let posts =
             || w1.calls().iter().filter(|(call, id, _)| call.starts_with("POST") && id == "taken").count();
         // Its writer has it and says nothing; another asks by its id, over a connection that is there already.
-        script.lock().expect("no panic").push_back(Does::Silent);
+        script.lock().expect("no panic").push_back(ScriptedReply::NoAnswer);
         let mut first = connect(address);
-        first.write_all(call("taken", "").as_bytes()).expect("a call");
-        let text = call("taken", CLOSE);
+        first.write_all(request_text("taken", "").as_bytes()).expect("a call");
+        let text = request_text("taken", CLOSE);
         let mut other = connect(address);
         other.write_all(&text.as_bytes()[..40]).expect("a part");
         thread::sleep(ms(100));
@@ -545,11 +557,11 @@
             // Its client has left; its writer may still be at it.
             drop(first);
             thread::sleep(ms(200));
-            let answer = ask(address, &text);
+            let answer = exchange(address, &text);
             assert!(answer.starts_with("HTTP/1.1 409"), "left: {answer}");
             // One that was answered whole.
-            assert!(whole(&ask(address, &call("ended", CLOSE)), "ended"));
-            assert!(ask(address, &call("ended", CLOSE)).starts_with("HTTP/1.1 409"));
+            assert!(is_complete_stream(&exchange(address, &request_text("ended", CLOSE)), "ended"));
+            assert!(exchange(address, &request_text("ended", CLOSE)).starts_with("HTTP/1.1 409"));
         }
         assert_eq!(posts(), 1, "stops {stops}");
         if let Some(stopping) = stopping {
--- a/crates/node/tests/platform/mod.rs
+++ b/crates/node/tests/platform/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in platform on loopback: hosts, a registry and clients that judge by what crosses the sockets, faults injected.
-#![allow(dead_code)] // each test file uses its part
+//! A simulated platform on loopback for integration tests: hosts and a registry that inject scripted faults and record
+//! the requests that they receive, and clients for the dispatcher.
+#![allow(dead_code)] // each test file uses a part of this module
 
 pub mod proxy;
 
@@ -14,88 +15,94 @@
 use tulipstall_node::Node;
 use tulipstall_platform::start::Start;
 
-/// What a host does with its next call, by default all goes well.
+/// How a host answers its next POST request. Without an entry in the script it answers normally.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Does {
-    /// These bytes in place of an answer.
-    Says(&'static str),
-    /// A good answer behind these bytes.
-    Ahead(&'static str),
-    /// A good answer with these bytes right behind.
-    Behind(&'static str),
-    /// A good stream up to its second event, then these bytes.
-    Then(&'static str),
-    /// Nothing, for ever.
-    Silent,
-    /// The connection breaks with no answer.
-    Breaks,
-    /// As that, so many milliseconds later.
-    BreaksIn(u64),
-    /// A good answer up to so many bytes, then the connection breaks.
-    Cut(usize),
-    /// So many events at once.
-    Long(usize),
-    /// The second event comes so many milliseconds later.
-    Pauses(u64),
-    /// A good answer, so many milliseconds later.
-    Late(u64),
-    /// So many events, so many milliseconds apart, each with the microseconds of its writing, in pieces, or two at once.
-    Timed(usize, u64, Wrote),
+pub enum ScriptedReply {
+    /// Sends these bytes in place of an answer.
+    Raw(&'static str),
+    /// Sends these bytes, then a normal answer.
+    Prefixed(&'static str),
+    /// Sends a normal answer followed at once by these bytes.
+    Suffixed(&'static str),
+    /// Sends a stream's head and first event, then these bytes.
+    RawAfterFirstEvent(&'static str),
+    /// Sends nothing and keeps the connection open.
+    NoAnswer,
+    /// Closes the connection without an answer.
+    Disconnect,
+    /// As `Disconnect`, after this many milliseconds.
+    DisconnectAfterMs(u64),
+    /// Sends this many bytes of a normal answer, then closes the connection.
+    TruncateAt(usize),
+    /// Sends the first event and this many further events at once.
+    ManyEvents(usize),
+    /// Sends the second event this many milliseconds after the first.
+    PauseMs(u64),
+    /// Sends a normal answer after this many milliseconds.
+    DelayMs(u64),
+    /// Number of events, milliseconds between them, and how they are written. Each event carries the time in
+    /// microseconds at which it was written.
+    TimedEvents(usize, u64, EventFraming),
 }
 
-/// How a host writes its events.
+/// How a host writes timed events.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wrote {
-    Whole,
-    /// Byte by byte, over some milliseconds.
-    InPieces,
+pub enum EventFraming {
+    OnePerChunk,
+    /// In writes of a few bytes each, over some milliseconds.
+    SmallPieces,
     /// Two events in one chunk.
-    ByTwo,
+    TwoPerChunk,
 }
 
-/// Microseconds on a clock that hosts and clients share.
+/// Microseconds on a clock shared by hosts and clients.
 pub fn micros() -> u64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_micros() as u64
 }
 
+/// The requests that a host has received.
 #[derive(Default)]
-pub struct Seen {
-    /// Method and path, id, when.
+pub struct ReceivedCalls {
+    /// Method and path, request id, arrival time.
     pub calls: Vec<(String, String, Instant)>,
-    /// By id, the marks by which a host would know a repeat.
-    pub keys: Vec<(String, Option<String>)>,
+    /// Request id and its idempotency key, if any.
+    pub idempotency_keys: Vec<(String, Option<String>)>,
 }
 
-/// What those who share it do with their next calls.
-pub type Script = Arc<Mutex<VecDeque<Does>>>;
+/// The next replies of the hosts that share this script, first entry first.
+pub type Script = Arc<Mutex<VecDeque<ScriptedReply>>>;
 
+/// A simulated host. It is a reader if its name begins with `r`, else a writer.
 #[derive(Clone)]
 pub struct Host {
     pub name: &'static str,
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Seen>>,
+    pub received: Arc<Mutex<ReceivedCalls>>,
     pub script: Script,
-    /// Drops whatever comes over a connection that was used before.
-    pub forgets: Arc<AtomicBool>,
-    /// Nothing that comes gets to it, nothing that it says gets out.
-    pub cut: Arc<AtomicBool>,
-    /// Takes no further connection than the next.
-    pub shut: Arc<AtomicBool>,
+    /// While set, closes a connection without an answer when a second request arrives on it.
+    pub drops_reused: Arc<AtomicBool>,
+    /// While set, received requests are not processed and nothing is sent.
+    pub unreachable: Arc<AtomicBool>,
+    /// While set, accepts no connection after the next one.
+    pub accept_paused: Arc<AtomicBool>,
     pub zone: &'static str,
 }
 
-pub fn event(text: &str) -> String {
+/// One server-sent event with this text, as an HTTP chunk.
+pub fn event_chunk(text: &str) -> String {
     let event = format!("data: {{\"choices\":[{{\"index\":0,\"delta\":{{\"content\":\"{text}\"}}}}]}}\n\n");
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-pub const DONE: &str = "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
-pub const STREAM: &str =
+/// The last event and the last chunk of a stream.
+pub const STREAM_END: &str = "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
+/// The response head of a stream.
+pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 impl Host {
-    /// A reader's name begins with r.
+    /// Starts a host in zone `a`.
     pub fn start(name: &'static str, script: &Script) -> Host {
         Self::start_in("a", name, script)
     }
@@ -104,19 +111,28 @@
         Self::start_on(TcpListener::bind("127.0.0.1:0").expect("a port"), zone, name, script)
     }
 
-    /// On a listener of its own, whose queue may be full.
+    /// Starts a host on this listener, for tests that fill its accept queue.
     pub fn start_on(listener: TcpListener, zone: &'static str, name: &'static str, script: &Script) -> Host {
         let address = listener.local_addr().expect("an address");
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let forgets = Arc::new(AtomicBool::new(false));
-        let (cut, shut) = (Arc::default(), Arc::default());
-        let host = Host { name, address, seen, script: script.clone(), forgets, cut, shut, zone };
-        let about = host.clone();
+        let received = Arc::new(Mutex::new(ReceivedCalls::default()));
+        let drops_reused = Arc::new(AtomicBool::new(false));
+        let (unreachable, accept_paused) = (Arc::default(), Arc::default());
+        let host = Host {
+            name,
+            address,
+            received,
+            script: script.clone(),
+            drops_reused,
+            unreachable,
+            accept_paused,
+            zone,
+        };
+        let server = host.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let serving = about.clone();
+                let serving = server.clone();
                 thread::spawn(move || serving.serve(stream));
-                while about.shut.load(Ordering::SeqCst) {
+                while server.accept_paused.load(Ordering::SeqCst) {
                     thread::sleep(Duration::from_millis(5));
                 }
             }
@@ -125,7 +141,7 @@
     }
 
     pub fn serve(&self, mut stream: TcpStream) {
-        let Host { name, seen, script, forgets, .. } = self;
+        let Host { name, received, script, drops_reused, .. } = self;
         let mut reader = RequestReader::new(Limits::default());
         let mut buffer = [0; 65_536];
         let mut used = false;
@@ -141,53 +157,57 @@
                 },
                 Err(_) => return,
             };
-            while self.cut.load(Ordering::SeqCst) {
+            while self.unreachable.load(Ordering::SeqCst) {
                 thread::sleep(Duration::from_millis(5));
             }
             let call = format!("{} {}", head.method, head.target);
             let id = head.text("x-txn").unwrap_or_default().to_owned();
             {
-                let mut seen = seen.lock().expect("no panic");
-                seen.calls.push((call.clone(), id.clone(), Instant::now()));
-                seen.keys.push((id.clone(), head.text("idempotency-key").map(str::to_owned)));
+                let mut received = received.lock().expect("no panic");
+                received.calls.push((call.clone(), id.clone(), Instant::now()));
+                received.idempotency_keys.push((id.clone(), head.text("idempotency-key").map(str::to_owned)));
             }
-            if std::mem::replace(&mut used, true) && forgets.load(Ordering::SeqCst) {
+            if std::mem::replace(&mut used, true) && drops_reused.load(Ordering::SeqCst) {
                 return;
             }
             let next = || script.lock().expect("no panic").pop_front();
-            let does = if call.starts_with("POST") { next() } else { None };
-            let good = if call.starts_with("DELETE") {
+            let reply = if call.starts_with("POST") { next() } else { None };
+            let answer = if call.starts_with("DELETE") {
                 "HTTP/1.1 204 No Content\r\n\r\n".to_owned()
             } else if name.starts_with('r') {
                 "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":7}".to_owned()
             } else {
-                format!("{STREAM}{}{}{DONE}", event(&id), event("more"))
+                format!("{STREAM_HEAD}{}{}{STREAM_END}", event_chunk(&id), event_chunk("more"))
             };
-            let half = format!("{STREAM}{}", event(&id));
-            let sent = match does {
-                None => stream.write_all(good.as_bytes()),
-                Some(Does::Says(bytes)) => stream.write_all(bytes.as_bytes()),
-                Some(Does::Ahead(bytes)) => stream.write_all(format!("{bytes}{good}").as_bytes()),
-                Some(Does::Behind(bytes)) => stream.write_all(format!("{good}{bytes}").as_bytes()),
-                Some(Does::Then(bytes)) => {
-                    let _ = stream.write_all(half.as_bytes());
+            let begun = format!("{STREAM_HEAD}{}", event_chunk(&id));
+            let written = match reply {
+                None => stream.write_all(answer.as_bytes()),
+                Some(ScriptedReply::Raw(bytes)) => stream.write_all(bytes.as_bytes()),
+                Some(ScriptedReply::Prefixed(bytes)) => {
+                    stream.write_all(format!("{bytes}{answer}").as_bytes())
+                }
+                Some(ScriptedReply::Suffixed(bytes)) => {
+                    stream.write_all(format!("{answer}{bytes}").as_bytes())
+                }
+                Some(ScriptedReply::RawAfterFirstEvent(bytes)) => {
+                    let _ = stream.write_all(begun.as_bytes());
                     thread::sleep(Duration::from_millis(50));
                     stream.write_all(bytes.as_bytes())
                 }
-                Some(Does::Pauses(ms)) => {
-                    let _ = stream.write_all(half.as_bytes());
+                Some(ScriptedReply::PauseMs(ms)) => {
+                    let _ = stream.write_all(begun.as_bytes());
                     thread::sleep(Duration::from_millis(ms));
-                    stream.write_all(format!("{}{DONE}", event("more")).as_bytes())
+                    stream.write_all(format!("{}{STREAM_END}", event_chunk("more")).as_bytes())
                 }
-                Some(Does::Timed(events, ms, wrote)) => {
-                    let mut sent =
-                        stream.set_nodelay(true).and_then(|()| stream.write_all(STREAM.as_bytes()));
+                Some(ScriptedReply::TimedEvents(events, ms, framing)) => {
+                    let mut written =
+                        stream.set_nodelay(true).and_then(|()| stream.write_all(STREAM_HEAD.as_bytes()));
                     for _ in 0..events {
                         let text = format!("at {} ", micros());
-                        let bytes = match wrote {
-                            Wrote::ByTwo => {
+                        let bytes = match framing {
+                            EventFraming::TwoPerChunk => {
                                 let two = |text: &str| {
-                                    let event = event(text);
+                                    let event = event_chunk(text);
                                     event
                                         .split_once("\r\n")
                                         .expect("a chunk")
@@ -195,77 +215,80 @@
                                         .trim_end_matches("\r\n")
                                         .to_owned()
                                 };
-                                let both = two(&text) + &two(&text);
-                                format!("{:x}\r\n{both}\r\n", both.len())
+                                let events_chunk = two(&text) + &two(&text);
+                                format!("{:x}\r\n{events_chunk}\r\n", events_chunk.len())
                             }
-                            Wrote::Whole | Wrote::InPieces => event(&text),
+                            EventFraming::OnePerChunk | EventFraming::SmallPieces => event_chunk(&text),
                         };
-                        let size = if wrote == Wrote::InPieces { 9 } else { bytes.len() };
+                        let size = if framing == EventFraming::SmallPieces { 9 } else { bytes.len() };
                         for piece in bytes.as_bytes().chunks(size) {
-                            sent = sent.and_then(|()| stream.write_all(piece));
-                            if wrote == Wrote::InPieces {
+                            written = written.and_then(|()| stream.write_all(piece));
+                            if framing == EventFraming::SmallPieces {
                                 thread::sleep(Duration::from_micros(300));
                             }
                         }
                         thread::sleep(Duration::from_millis(ms));
                     }
-                    sent.and_then(|()| stream.write_all(DONE.as_bytes()))
+                    written.and_then(|()| stream.write_all(STREAM_END.as_bytes()))
                 }
-                Some(Does::Late(ms)) => {
+                Some(ScriptedReply::DelayMs(ms)) => {
                     thread::sleep(Duration::from_millis(ms));
-                    stream.write_all(good.as_bytes())
+                    stream.write_all(answer.as_bytes())
                 }
-                Some(Does::Silent) => Ok(()),
-                Some(Does::Long(events)) => {
-                    stream.write_all(format!("{half}{}{DONE}", event("more").repeat(events)).as_bytes())
-                }
-                Some(Does::Cut(bytes)) => {
-                    let _ = stream.write_all(&good.as_bytes()[..bytes.min(good.len())]);
+                Some(ScriptedReply::NoAnswer) => Ok(()),
+                Some(ScriptedReply::ManyEvents(events)) => stream.write_all(
+                    format!("{begun}{}{STREAM_END}", event_chunk("more").repeat(events)).as_bytes(),
+                ),
+                Some(ScriptedReply::TruncateAt(bytes)) => {
+                    let _ = stream.write_all(&answer.as_bytes()[..bytes.min(answer.len())]);
                     return;
                 }
-                Some(Does::Breaks) => return,
-                Some(Does::BreaksIn(ms)) => return thread::sleep(Duration::from_millis(ms)),
+                Some(ScriptedReply::Disconnect) => return,
+                Some(ScriptedReply::DisconnectAfterMs(ms)) => {
+                    return thread::sleep(Duration::from_millis(ms));
+                }
             };
-            if sent.is_err() {
+            if written.is_err() {
                 return;
             }
         }
     }
 
-    pub fn does(&self, does: &[Does]) {
-        self.script.lock().expect("no panic").extend(does);
+    pub fn script_replies(&self, replies: &[ScriptedReply]) {
+        self.script.lock().expect("no panic").extend(replies);
     }
 
     pub fn calls(&self) -> Vec<(String, String, Instant)> {
-        self.seen.lock().expect("no panic").calls.clone()
+        self.received.lock().expect("no panic").calls.clone()
     }
 }
 
-/// How a registry fails a call.
+/// How a registry fails a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fails {
-    Silent,
-    /// A byte now and then.
-    Trickles,
-    Resets,
-    Rubbish,
-    /// The first list that it ever had.
-    Older,
+pub enum RegistryFault {
+    NoAnswer,
+    /// Sends the body one byte every 50 ms.
+    SlowBody,
+    Disconnect,
+    MalformedJson,
+    /// Answers with the first version of the list.
+    FirstList,
 }
 
-/// A registry: versions of one list, whole or by what changed.
+/// A simulated registry. It serves one list of hosts, complete or as the changes since a version.
 #[derive(Clone)]
 pub struct Registry {
     pub address: SocketAddr,
-    /// What is asked goes unanswered for ever, as does what waited for news.
+    /// While set, no request is answered, including open watches.
     pub down: Arc<AtomicBool>,
+    /// The versions of the list, each as its changed lines; the condition variable signals a new version.
     pub state: Arc<(Mutex<Vec<String>>, Condvar)>,
-    /// What becomes of its next answers.
-    pub script: Arc<Mutex<VecDeque<Fails>>>,
-    /// New calls that it takes in any second, where it is bounded: a call more is refused, and counts all the same. Those
-    /// that go on with a watch are no new ones.
-    pub takes: Arc<AtomicUsize>,
-    /// When each new call came, and whether it was taken.
+    /// Faults of the next answers, first entry first.
+    pub script: Arc<Mutex<VecDeque<RegistryFault>>>,
+    /// New calls that it accepts within any one second. Further calls are refused and count as well. A request that
+    /// continues a watch on the same connection is not a new call.
+    pub max_new_calls_per_s: Arc<AtomicUsize>,
+    /// Arrival time of each new call, and whether it was accepted.
     pub new_calls: Arc<Mutex<Vec<(Instant, bool)>>>,
 }
 
@@ -276,44 +299,48 @@
             address: listener.local_addr().expect("an address"),
             down: Arc::default(),
             script: Arc::default(),
-            takes: Arc::new(AtomicUsize::new(usize::MAX)),
+            max_new_calls_per_s: Arc::new(AtomicUsize::new(usize::MAX)),
             new_calls: Arc::default(),
             state: Arc::new((
-                Mutex::new(vec![hosts.iter().map(|h| line(h, "active")).collect::<Vec<_>>().join(",")]),
+                Mutex::new(vec![
+                    hosts.iter().map(|h| registry_line(h, "active")).collect::<Vec<_>>().join(","),
+                ]),
                 Condvar::new(),
             )),
         };
-        let about = registry.clone();
+        let server = registry.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let about = about.clone();
-                thread::spawn(move || about.serve(stream));
+                let server = server.clone();
+                thread::spawn(move || server.serve(stream));
             }
         });
         registry
     }
 
-    /// Whether a new call is taken.
-    fn is_taken(&self) -> bool {
+    /// Records a new call; returns whether it is accepted.
+    fn accept_new_call(&self) -> bool {
         let now = Instant::now();
         let mut calls = self.new_calls.lock().expect("no panic");
-        let of_late = calls.iter().rev().take_while(|(at, _)| now - *at < Duration::from_secs(1)).count();
-        let taken = of_late < self.takes.load(Ordering::SeqCst);
-        calls.push((now, taken));
-        taken
+        let recent_calls =
+            calls.iter().rev().take_while(|(at, _)| now - *at < Duration::from_secs(1)).count();
+        let accepted = recent_calls < self.max_new_calls_per_s.load(Ordering::SeqCst);
+        calls.push((now, accepted));
+        accepted
     }
 
     pub fn serve(&self, mut stream: TcpStream) {
         let mut reader = RequestReader::new(Limits::default());
         let mut buffer = [0; 4096];
-        let mut watched: Option<Instant> = None;
+        let mut last_watch_answer: Option<Instant> = None;
         loop {
             match reader.poll() {
                 Ok(Step::Request(head, _)) => {
                     let after = head.target.split("index=").nth(1).and_then(|rest| rest.split('&').next());
                     let after: Option<usize> = after.and_then(|text| text.parse().ok());
-                    let goes_on = watched.is_some_and(|at| at.elapsed() < Duration::from_millis(200));
-                    if !goes_on && !self.is_taken() {
+                    let continues_watch =
+                        last_watch_answer.is_some_and(|at| at.elapsed() < Duration::from_millis(200));
+                    if !continues_watch && !self.accept_new_call() {
                         let refusal = "HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
                         let _ = stream.write_all(refusal.as_bytes());
                         return;
@@ -322,7 +349,7 @@
                     let mut versions = versions.lock().expect("no panic");
                     let body = match after {
                         None => {
-                            let (seq, hosts) = (versions.len(), now(&versions));
+                            let (seq, hosts) = (versions.len(), merge_versions(&versions));
                             format!("{{\"seq\":{seq},\"whole\":true,\"hosts\":{hosts}}}")
                         }
                         Some(after) => {
@@ -338,21 +365,21 @@
                     if self.down.load(Ordering::SeqCst) {
                         continue;
                     }
-                    let fails = self.script.lock().expect("no panic").pop_front();
-                    let body = match fails {
+                    let fault = self.script.lock().expect("no panic").pop_front();
+                    let body = match fault {
                         None => body,
-                        Some(Fails::Silent) => continue,
-                        Some(Fails::Resets) => return,
-                        Some(Fails::Rubbish) => "{\"seq\":3,\"whole\":".to_owned(),
-                        Some(Fails::Trickles) => " ".repeat(1000),
-                        Some(Fails::Older) => {
+                        Some(RegistryFault::NoAnswer) => continue,
+                        Some(RegistryFault::Disconnect) => return,
+                        Some(RegistryFault::MalformedJson) => "{\"seq\":3,\"whole\":".to_owned(),
+                        Some(RegistryFault::SlowBody) => " ".repeat(1000),
+                        Some(RegistryFault::FirstList) => {
                             let first = self.state.0.lock().expect("no panic")[0].clone();
                             format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{first}]}}")
                         }
                     };
                     let mut text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
                         .into_bytes();
-                    if fails == Some(Fails::Trickles) {
+                    if fault == Some(RegistryFault::SlowBody) {
                         let rest = text.split_off(60);
                         for byte in rest {
                             if stream.write_all(&text).and_then(|()| stream.write_all(&[byte])).is_err() {
@@ -365,7 +392,7 @@
                     if stream.write_all(&text).is_err() {
                         return;
                     }
-                    watched = after.map(|_| Instant::now());
+                    last_watch_answer = after.map(|_| Instant::now());
                 }
                 Ok(_) => match stream.read(&mut buffer) {
                     Ok(got) if got > 0 => reader.feed(&buffer[..got]),
@@ -376,14 +403,15 @@
         }
     }
 
-    pub fn tell(&self, line: String) {
+    /// Adds a version of the list with these changed lines.
+    pub fn publish(&self, line: String) {
         self.state.0.lock().expect("no panic").push(line);
         self.state.1.notify_all();
     }
 }
 
-/// The list as all versions together make it.
-fn now(versions: &[String]) -> String {
+/// The complete list: the latest line of each host over all versions.
+fn merge_versions(versions: &[String]) -> String {
     let mut hosts = std::collections::BTreeMap::new();
     for version in versions {
         let lines: Vec<serde_json::Value> = serde_json::from_str(&format!("[{version}]")).expect("lines");
@@ -392,7 +420,8 @@
     serde_json::Value::from(hosts.into_values().collect::<Vec<_>>()).to_string()
 }
 
-pub fn line(host: &Host, health: &str) -> String {
+/// The registry's line for a host. Names that begin with `x` get a class that neither reads nor writes.
+pub fn registry_line(host: &Host, health: &str) -> String {
     let class = match host.name.as_bytes()[0] {
         b'r' => "reads",
         b'x' => "does neither",
@@ -404,16 +433,17 @@
     )
 }
 
-pub fn node(registry: &Registry, sockets: usize) -> Node {
-    node_of(registry, sockets, 1)
+/// Starts the only dispatcher of its platform and waits until it is ready.
+pub fn start_node(registry: &Registry, sockets: usize) -> Node {
+    start_fleet_node(registry, sockets, 1)
 }
 
-/// One of so many dispatchers.
-pub fn node_of(registry: &Registry, sockets: usize, dispatchers: usize) -> Node {
-    node_with(&config(registry, sockets, dispatchers))
+/// Starts one of `dispatchers` dispatchers.
+pub fn start_fleet_node(registry: &Registry, sockets: usize, dispatchers: usize) -> Node {
+    start_node_with(&config(registry, sockets, dispatchers))
 }
 
-/// What it is told at start.
+/// The dispatcher's start configuration.
 pub fn config(registry: &Registry, sockets: usize, dispatchers: usize) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964","limits":{{"sockets":{sockets}}},
@@ -425,13 +455,14 @@
     )
 }
 
-pub fn node_with(config: &str) -> Node {
+/// Starts a dispatcher with this configuration and waits until it is ready.
+pub fn start_node_with(config: &str) -> Node {
     let node = Node::start(&Start::read(config).expect("a configuration")).expect("a node");
     let until = Instant::now() + Duration::from_secs(5);
-    while !ask(node.address(), "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+    while !exchange(node.address(), "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         .starts_with("HTTP/1.1 200")
     {
-        assert!(Instant::now() < until, "never ready");
+        assert!(Instant::now() < until, "the dispatcher does not become ready within 5 s");
         thread::sleep(Duration::from_millis(10));
     }
     node
@@ -439,7 +470,8 @@
 
 pub const BODY: &str = r#"{"model":"chat","stream":true,"messages":[{"role":"user","content":"x"}]}"#;
 
-pub fn call(id: &str, more: &str) -> String {
+/// A chat request with this id and, in `more`, further header lines.
+pub fn request_text(id: &str, more: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {id}\r\nX-Lane: chat\r\nX-Remaining-Ms: 2500\r\n\
          X-Labels: prompt_len=20,max_out=10\r\n{more}Content-Length: {}\r\n\r\n{BODY}",
@@ -453,8 +485,8 @@
     stream
 }
 
-/// All that comes until the connection ends.
-pub fn ask(address: SocketAddr, text: &str) -> String {
+/// Sends `text` on a new connection and returns everything received until the connection ends.
+pub fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = connect(address);
     let _ = stream.write_all(text.as_bytes());
     let mut out = Vec::new();
@@ -468,17 +500,20 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-pub fn whole(answer: &str, id: &str) -> bool {
+/// Whether the answer is a complete normal stream for the request with this id.
+pub fn is_complete_stream(answer: &str, id: &str) -> bool {
     let clean =
         answer.starts_with("HTTP/1.1 200") && answer.contains("[DONE]") && answer.ends_with("0\r\n\r\n");
     clean && answer.contains(id) && answer.matches("data:").count() == 3
 }
 
-/// One at a time: how many sockets are held is counted for the whole process.
-pub static ALONE: Mutex<()> = Mutex::new(());
+/// Held by a test while its dispatcher runs: open sockets are counted for the whole process, so that such tests must not
+/// run at the same time.
+pub static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
+/// A dispatcher with one reader, two writers that share a script, and a registry.
 pub struct Platform {
-    pub _alone: MutexGuard<'static, ()>,
+    pub _exclusive: MutexGuard<'static, ()>,
     pub r1: Host,
     pub w1: Host,
     pub w2: Host,
@@ -486,11 +521,11 @@
     pub node: Node,
 }
 
-pub fn platform(sockets: usize) -> Platform {
-    let alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+pub fn start_platform(sockets: usize) -> Platform {
+    let alone = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let (reads, writes) = (Script::default(), Script::default());
     let (r1, w1, w2) = (Host::start("r1", &reads), Host::start("w1", &writes), Host::start("w2", &writes));
     let registry = Registry::start(&[&r1, &w1, &w2]);
-    let node = node(&registry, sockets);
-    Platform { _alone: alone, r1, w1, w2, registry, node }
+    let node = start_node(&registry, sockets);
+    Platform { _exclusive: alone, r1, w1, w2, registry, node }
 }
--- a/crates/node/tests/platform/proxy.rs
+++ b/crates/node/tests/platform/proxy.rs
@@ -1,5 +1,5 @@
-//! A fault proxy between a dispatcher and one host: connections always come up, and bytes are always taken; whether they
-//! are passed on depends on the fault that is set.
+//! A fault proxy between a dispatcher and one host. It always accepts connections and always reads; whether it forwards
+//! the bytes depends on the fault that is set.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,16 +7,16 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What the proxy does with bytes that it has taken.
+/// What the proxy does with the bytes that it has read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[repr(u8)]
 pub enum Fault {
     None = 0,
-    /// Nothing reaches the host, not even the end of a connection; nothing comes back.
+    /// Forwards nothing in either direction, not even the end of a connection.
     Silent = 1,
-    /// Requests reach the host, its answers are lost.
-    LosesAnswers = 2,
-    /// As [`Fault::Silent`], and what was taken is passed on once the fault is over.
+    /// Forwards requests and drops the host's answers.
+    DropsAnswers = 2,
+    /// As [`Fault::Silent`], but forwards what was read once the fault is over.
     Delays = 3,
 }
 
@@ -27,53 +27,53 @@
 }
 
 impl Proxy {
-    /// Listens on an address of its own and connects to `host` once for each connection taken.
+    /// Listens on a new address and opens one connection to `host` for each accepted connection.
     pub fn start(host: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let proxy = Proxy { address: listener.local_addr().expect("an address"), fault: Arc::default() };
-        let about = proxy.clone();
+        let proxy_clone = proxy.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let about = about.clone();
-                thread::spawn(move || about.connect(stream, host));
+                let proxy_clone = proxy_clone.clone();
+                thread::spawn(move || proxy_clone.connect(stream, host));
             }
         });
         proxy
     }
 
-    /// From now on, on open connections as on new ones.
+    /// Sets the fault for open and new connections.
     pub fn set(&self, fault: Fault) {
         self.fault.store(fault as u8, Ordering::SeqCst);
     }
 
-    fn has(&self, faults: &[Fault]) -> bool {
+    fn is_set_to_any(&self, faults: &[Fault]) -> bool {
         let fault = self.fault.load(Ordering::SeqCst);
-        faults.iter().any(|one| *one as u8 == fault)
+        faults.iter().any(|candidate| *candidate as u8 == fault)
     }
 
-    fn connect(&self, near: TcpStream, host: SocketAddr) {
-        let Ok(far) = TcpStream::connect(host) else { return };
-        let (Ok(from_near), Ok(from_far)) = (near.try_clone(), far.try_clone()) else { return };
-        let about = self.clone();
-        thread::spawn(move || about.pump(from_far, near, &[Fault::Silent, Fault::LosesAnswers]));
-        self.pump(from_near, far, &[Fault::Silent]);
+    fn connect(&self, client: TcpStream, host: SocketAddr) {
+        let Ok(server) = TcpStream::connect(host) else { return };
+        let (Ok(from_client), Ok(from_server)) = (client.try_clone(), server.try_clone()) else { return };
+        let proxy_clone = self.clone();
+        thread::spawn(move || proxy_clone.pump(from_server, client, &[Fault::Silent, Fault::DropsAnswers]));
+        self.pump(from_client, server, &[Fault::Silent]);
     }
 
-    /// Passes on what comes, but for what comes under one of the faults that lose it.
-    fn pump(&self, mut from: TcpStream, mut to: TcpStream, lost_by: &[Fault]) {
+    /// Forwards bytes, except those that arrive under one of the faults `dropped_under`.
+    fn pump(&self, mut from: TcpStream, mut to: TcpStream, dropped_under: &[Fault]) {
         let mut buffer = [0; 65_536];
         loop {
-            let got = from.read(&mut buffer).unwrap_or(0);
-            while self.has(&[Fault::Delays]) {
+            let received = from.read(&mut buffer).unwrap_or(0);
+            while self.is_set_to_any(&[Fault::Delays]) {
                 thread::sleep(std::time::Duration::from_millis(2));
             }
-            if self.has(lost_by) {
-                if got == 0 {
-                    return KEPT.lock().expect("no panic").push(to);
+            if self.is_set_to_any(dropped_under) {
+                if received == 0 {
+                    return HELD_CONNECTIONS.lock().expect("no panic").push(to);
                 }
                 continue;
             }
-            if got == 0 || to.write_all(&buffer[..got]).is_err() {
+            if received == 0 || to.write_all(&buffer[..received]).is_err() {
                 let _ = to.shutdown(Shutdown::Both);
                 let _ = from.shutdown(Shutdown::Both);
                 return;
@@ -82,5 +82,5 @@
     }
 }
 
-/// Connections whose end is not passed on.
-static KEPT: Mutex<Vec<TcpStream>> = Mutex::new(Vec::new());
+/// Connections that stay open because the end of their counterpart must not be forwarded.
+static HELD_CONNECTIONS: Mutex<Vec<TcpStream>> = Mutex::new(Vec::new());
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -15,60 +15,69 @@
 /// last chunk. What is more than an answer is nobody's.
 #[test]
 fn spoilt_answers_cost_a_shot_or_end_the_connection() {
-    let p = platform(256);
+    let p = start_platform(256);
     let close = "Connection: close\r\n";
     let noise = "\x01\x02noise noise noise noise";
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno";
-    let cases: [(&str, bool, Does, bool); 13] = [
-        ("noise", false, Does::Says(noise), true),
-        ("endless head", false, Does::Says(HEADS), true),
-        ("bad head", false, Does::Says("HTTP/1.1 2x0 OK\r\n\r\n"), true),
+    let cases: [(&str, bool, ScriptedReply, bool); 13] = [
+        ("noise", false, ScriptedReply::Raw(noise), true),
+        ("endless head", false, ScriptedReply::Raw(HEADS), true),
+        ("bad head", false, ScriptedReply::Raw("HTTP/1.1 2x0 OK\r\n\r\n"), true),
         (
             "no size",
             false,
-            Does::Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\ndata: a\n\n"),
+            ScriptedReply::Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\ndata: a\n\n"),
             true,
         ),
         (
             "3 GB ahead",
             false,
-            Does::Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nc0000000\r\ndata: a\n\n"),
+            ScriptedReply::Raw(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nc0000000\r\ndata: a\n\n",
+            ),
             true,
         ),
-        ("no event", false, Does::Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"), true),
-        ("writer breaks", false, Does::Breaks, true),
-        ("reader breaks", true, Does::Breaks, true),
+        ("no event", false, ScriptedReply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"), true),
+        ("writer breaks", false, ScriptedReply::Disconnect, true),
+        ("reader breaks", true, ScriptedReply::Disconnect, true),
         (
             "1xx",
             false,
-            Does::Ahead("HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n"),
+            ScriptedReply::Prefixed(
+                "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n",
+            ),
             true,
         ),
-        ("second answer", false, Does::Behind(second), true),
-        ("bad size later", false, Does::Then("xyz\r\ndata: a\n\n\r\n"), false),
-        ("3 GB later", false, Does::Then("c0000000\r\ndata: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"), false),
-        ("wrong size later", false, Does::Then("4\r\ndata: aaaa\n\n\r\n"), false),
+        ("second answer", false, ScriptedReply::Suffixed(second), true),
+        ("bad size later", false, ScriptedReply::RawAfterFirstEvent("xyz\r\ndata: a\n\n\r\n"), false),
+        (
+            "3 GB later",
+            false,
+            ScriptedReply::RawAfterFirstEvent("c0000000\r\ndata: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"),
+            false,
+        ),
+        ("wrong size later", false, ScriptedReply::RawAfterFirstEvent("4\r\ndata: aaaa\n\n\r\n"), false),
     ];
     for (i, (name, reads, does, good)) in cases.into_iter().enumerate() {
         if reads {
-            p.r1.does(&[does]);
+            p.r1.script_replies(&[does]);
         } else {
-            p.w1.does(&[does]);
+            p.w1.script_replies(&[does]);
         }
         let id = format!("spoilt{i:04}");
         let from = Instant::now();
-        let answer = ask(p.node.address(), &call(&id, close));
+        let answer = exchange(p.node.address(), &request_text(&id, close));
         assert!(from.elapsed() < Duration::from_secs(5), "{name}: {:?}", from.elapsed());
         if good {
-            assert!(whole(&answer, &id), "{name}: {answer}");
+            assert!(is_complete_stream(&answer, &id), "{name}: {answer}");
         } else {
             assert!(answer.starts_with("HTTP/1.1 200") && !answer.ends_with("0\r\n\r\n"), "{name}: {answer}");
         }
         // A wrong answer left on a kept connection would be the next task's.
         for k in 0..5 {
             let id = format!("after{i:04}{k}");
-            let answer = ask(p.node.address(), &call(&id, close));
-            assert!(whole(&answer, &id), "after {name}: {answer}");
+            let answer = exchange(p.node.address(), &request_text(&id, close));
+            assert!(is_complete_stream(&answer, &id), "after {name}: {answer}");
         }
     }
 }
@@ -76,15 +85,18 @@
 /// A stream that stops, its host still there: its client is not left waiting, and the answer does not seem whole.
 #[test]
 fn a_stream_that_stops_ends_its_client() {
-    let p = platform(256);
-    p.w1.does(&[Does::Pauses(20_000)]);
+    let p = start_platform(256);
+    p.w1.script_replies(&[ScriptedReply::PauseMs(20_000)]);
     let from = Instant::now();
-    let answer = ask(p.node.address(), &call("stops", ""));
+    let answer = exchange(p.node.address(), &request_text("stops", ""));
     assert!(from.elapsed() < Duration::from_secs(5), "{:?}", from.elapsed());
     assert!(answer.starts_with("HTTP/1.1 200") && !answer.ends_with("0\r\n\r\n"), "{answer}");
     // One that is only slow is passed on whole.
-    p.w1.does(&[Does::Pauses(3500)]);
-    assert!(whole(&ask(p.node.address(), &call("slow", "Connection: close\r\n")), "slow"));
+    p.w1.script_replies(&[ScriptedReply::PauseMs(3500)]);
+    assert!(is_complete_stream(
+        &exchange(p.node.address(), &request_text("slow", "Connection: close\r\n")),
+        "slow"
+    ));
 }
 
 const HEADS: &str = concat!("HTTP/1.1 200 OK\r\nx: 1\r\nx: 1\r\nx: 1\r\n", "y");
@@ -92,8 +104,8 @@
 /// What can't be read is answered with an error or a close, and no host hears of it.
 #[test]
 fn bad_calls_reach_no_host() {
-    let p = platform(256);
-    let good = call("a0", "");
+    let p = start_platform(256);
+    let good = request_text("a0", "");
     let big = "x".repeat(300_000);
     let cases: Vec<(&str, String)> = vec![
         ("no id", good.replace("X-Txn: a0\r\n", "")),
@@ -112,7 +124,7 @@
         (
             "a request inside a body",
             good.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")
-                .replace(BODY, &format!("0\r\n\r\n{}", call("hidden", ""))),
+                .replace(BODY, &format!("0\r\n\r\n{}", request_text("hidden", ""))),
         ),
         (
             "a body that is too large",
@@ -127,7 +139,7 @@
             let address = p.node.address();
             scope.spawn(move || {
                 let from = Instant::now();
-                let answer = ask(address, text);
+                let answer = exchange(address, text);
                 let refused = answer.starts_with("HTTP/1.1 4") || answer.starts_with("HTTP/1.1 5");
                 assert!(answer.is_empty() || refused, "{name}: {answer}");
                 assert!(from.elapsed() < Duration::from_secs(3), "{name}: {:?}", from.elapsed());
@@ -138,21 +150,21 @@
         assert!(host.calls().is_empty(), "{}: {:?}", host.name, host.calls());
     }
     // An id that is in hand is no other client's.
-    p.w1.does(&[Does::Pauses(400)]);
-    let (address, first) = (p.node.address(), call("same", "Connection: close\r\n"));
+    p.w1.script_replies(&[ScriptedReply::PauseMs(400)]);
+    let (address, first) = (p.node.address(), request_text("same", "Connection: close\r\n"));
     let other = thread::spawn({
         let first = first.clone();
-        move || ask(address, &first)
+        move || exchange(address, &first)
     });
     thread::sleep(Duration::from_millis(200));
-    assert!(ask(address, &first).starts_with("HTTP/1.1 409"));
-    assert!(whole(&other.join().expect("no panic"), "same"));
+    assert!(exchange(address, &first).starts_with("HTTP/1.1 409"));
+    assert!(is_complete_stream(&other.join().expect("no panic"), "same"));
 }
 
 /// Connections that say nothing, or asked once and stay, never keep a call out: they are let go for it.
 #[test]
 fn silent_connections_make_room() {
-    let p = platform(128);
+    let p = start_platform(128);
     let address = p.node.address();
     let mut stay = Vec::new();
     for i in 0..200 {
@@ -163,8 +175,8 @@
         stay.push(stream);
         if i % 10 == 9 {
             let id = format!("room{i:04}");
-            let answer = ask(address, &call(&id, "Connection: close\r\n"));
-            assert!(whole(&answer, &id), "{i}: {answer}");
+            let answer = exchange(address, &request_text(&id, "Connection: close\r\n"));
+            assert!(is_complete_stream(&answer, &id), "{i}: {answer}");
         }
     }
 }
@@ -172,17 +184,17 @@
 /// Connections that their hosts have forgotten cost some shots until that is seen, and no task.
 #[test]
 fn lost_connections_are_used_no_more() {
-    let p = platform(256);
+    let p = start_platform(256);
     let hosts = [&p.r1, &p.w1, &p.w2];
     let serve = |from: usize, tasks: usize| {
         for i in from..from + tasks {
             let id = format!("kept{i:04}");
-            let answer = ask(p.node.address(), &call(&id, "Connection: close\r\n"));
-            assert!(whole(&answer, &id), "{i}: {answer}");
+            let answer = exchange(p.node.address(), &request_text(&id, "Connection: close\r\n"));
+            assert!(is_complete_stream(&answer, &id), "{i}: {answer}");
         }
     };
     serve(0, 40);
-    hosts.iter().for_each(|host| host.forgets.store(true, Ordering::SeqCst));
+    hosts.iter().for_each(|host| host.drops_reused.store(true, Ordering::SeqCst));
     let calls = |path: &str| -> usize {
         hosts.iter().map(|host| host.calls().iter().filter(|(call, ..)| call.starts_with(path)).count()).sum()
     };
@@ -196,10 +208,12 @@
 /// Two calls sent at once over one connection get their own answers, in order.
 #[test]
 fn pipelined_calls_are_answered_in_order() {
-    let p = platform(256);
-    p.w1.does(&[Does::Pauses(100)]);
-    let text = [call("one", ""), call("two", ""), call("three", "Connection: close\r\n")].concat();
-    let answer = ask(p.node.address(), &text);
+    let p = start_platform(256);
+    p.w1.script_replies(&[ScriptedReply::PauseMs(100)]);
+    let text =
+        [request_text("one", ""), request_text("two", ""), request_text("three", "Connection: close\r\n")]
+            .concat();
+    let answer = exchange(p.node.address(), &text);
     let at = |id: &str| answer.find(id).unwrap_or_else(|| panic!("{id}: {answer}"));
     assert!(at("one") < at("two") && at("two") < at("three"));
     assert_eq!(answer.matches("0\r\n\r\n").count(), 3, "{answer}");
@@ -209,20 +223,20 @@
 /// for it is let go.
 #[test]
 fn drains_and_leaving_clients() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
-    p.registry.tell(line(&p.w1, "leaving"));
+    p.registry.publish(registry_line(&p.w1, "leaving"));
     thread::sleep(Duration::from_millis(250));
     let told = Instant::now();
     for i in 0..20 {
         let id = format!("drain{i:03}");
-        assert!(whole(&ask(address, &call(&id, "Connection: close\r\n")), &id));
+        assert!(is_complete_stream(&exchange(address, &request_text(&id, "Connection: close\r\n")), &id));
     }
     assert!(p.w1.calls().iter().all(|(.., at)| *at < told), "{:?}", p.w1.calls());
     // The reader is silent, its client leaves: the read may end well all the same.
-    p.r1.does(&[Does::Silent]);
+    p.r1.script_replies(&[ScriptedReply::NoAnswer]);
     let mut stream = connect(address);
-    let _ = stream.write_all(call("leaves", "").as_bytes());
+    let _ = stream.write_all(request_text("leaves", "").as_bytes());
     thread::sleep(Duration::from_millis(200));
     drop(stream);
     let until = Instant::now() + Duration::from_millis(1300);
@@ -238,7 +252,7 @@
 /// kept waiting.
 #[test]
 fn a_moved_registry_and_a_stop() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
     let w3 = Host::start("w3", &Script::default());
     let registry = Registry::start(&[&p.r1, &w3]);
@@ -246,13 +260,16 @@
     let until = Instant::now() + Duration::from_secs(2);
     while w3.calls().is_empty() {
         assert!(Instant::now() < until, "the other registry's list is not taken");
-        assert!(whole(
-            &ask(address, &call(&format!("m{:?}", until.elapsed().as_nanos()), "Connection: close\r\n")),
+        assert!(is_complete_stream(
+            &exchange(
+                address,
+                &request_text(&format!("m{:?}", until.elapsed().as_nanos()), "Connection: close\r\n")
+            ),
             "m"
         ));
     }
-    w3.does(&[Does::Pauses(1500)]);
-    let taken = thread::spawn(move || ask(address, &call("taken", "")));
+    w3.script_replies(&[ScriptedReply::PauseMs(1500)]);
+    let taken = thread::spawn(move || exchange(address, &request_text("taken", "")));
     let mut idle = connect(address);
     thread::sleep(Duration::from_millis(300));
     thread::scope(|scope| {
@@ -262,9 +279,9 @@
             from.elapsed()
         });
         thread::sleep(Duration::from_millis(200));
-        assert!(whole(&ask(address, &call("late", "")), "late"));
+        assert!(is_complete_stream(&exchange(address, &request_text("late", "")), "late"));
         assert_eq!(idle.read(&mut [0; 16]).unwrap_or(0), 0, "an idle connection is closed");
-        assert!(whole(&taken.join().expect("no panic"), "taken"));
+        assert!(is_complete_stream(&taken.join().expect("no panic"), "taken"));
         let took = stops.join().expect("no panic");
         assert!(took < Duration::from_secs(4), "{took:?}");
     });
@@ -275,16 +292,16 @@
 /// ask then reaches no host, as the platform's kill would come into its answer.
 #[test]
 fn a_stop_ends_connections_behind_long_answers() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
-    p.w1.does(&[Does::Pauses(900); 8]);
+    p.w1.script_replies(&[ScriptedReply::PauseMs(900); 8]);
     let (ready, clients) = (Arc::new(AtomicBool::new(false)), 0..8);
     let asks: Vec<_> = clients
         .map(|i| {
             let ready = ready.clone();
             thread::spawn(move || {
                 let mut stream = connect(address);
-                let _ = stream.write_all(call(&format!("first{i}"), "").as_bytes());
+                let _ = stream.write_all(request_text(&format!("first{i}"), "").as_bytes());
                 let (mut out, mut buffer) = (Vec::new(), [0; 4096]);
                 while !out.ends_with(b"0\r\n\r\n") {
                     let got = stream.read(&mut buffer).unwrap_or(0);
@@ -292,7 +309,7 @@
                     out.extend_from_slice(&buffer[..got]);
                 }
                 assert!(ready.load(Ordering::SeqCst), "the answer was over before the stop");
-                let _ = stream.write_all(call(&format!("second{i}"), "").as_bytes());
+                let _ = stream.write_all(request_text(&format!("second{i}"), "").as_bytes());
                 let mut rest = Vec::new();
                 let _ = stream.read_to_end(&mut rest);
                 String::from_utf8_lossy(&rest).into_owned()
@@ -316,11 +333,11 @@
 /// A call that was read ahead of its turn when a stop ends its connection is answered all the same, and reaches no host.
 #[test]
 fn what_was_read_ahead_of_a_stop_is_bounced() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
-    p.w1.does(&[Does::Pauses(900)]);
-    let both = [call("under_way", ""), call("ahead", "")].concat();
-    let asks = thread::spawn(move || ask(address, &both));
+    p.w1.script_replies(&[ScriptedReply::PauseMs(900)]);
+    let both = [request_text("under_way", ""), request_text("ahead", "")].concat();
+    let asks = thread::spawn(move || exchange(address, &both));
     thread::sleep(Duration::from_millis(300));
     p.node.stop();
     let answer = asks.join().expect("no panic");
@@ -335,18 +352,19 @@
 /// which time what the registry has counts as told.
 #[test]
 fn a_registry_that_comes_back_is_heard_inside_the_grace() {
-    let p = platform(256);
+    let p = start_platform(256);
     let address = p.node.address();
     p.registry.down.store(true, Ordering::SeqCst);
     // Silent for longer than an open watch may be.
     thread::sleep(Duration::from_millis(2300));
     p.registry.state.0.lock().expect("no panic")[0] =
-        [line(&p.r1, "active"), line(&p.w1, "leaving"), line(&p.w2, "active")].join(",");
+        [registry_line(&p.r1, "active"), registry_line(&p.w1, "leaving"), registry_line(&p.w2, "active")]
+            .join(",");
     let back = Instant::now();
     p.registry.down.store(false, Ordering::SeqCst);
     for i in 0.. {
         let id = format!("back{i:03}");
-        assert!(whole(&ask(address, &call(&id, "Connection: close\r\n")), &id));
+        assert!(is_complete_stream(&exchange(address, &request_text(&id, "Connection: close\r\n")), &id));
         if back.elapsed() > Duration::from_millis(2000) {
             break;
         }
@@ -361,21 +379,22 @@
 /// not one host by all.
 #[test]
 fn states_behind_a_cut_are_let_go_of_elsewhere() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let (reads, writes) = (Script::default(), Script::default());
     let there = ["a1", "a2", "a3", "r1", "r2"]
         .map(|name| Host::start_in("b", name, if name.starts_with('r') { &reads } else { &writes }));
     // Hosts of a kind that gets no shots, so that none of them has failed one: they differ by chance alone.
     let here = ["x8", "x9"].map(|name| Host::start(name, &writes));
-    writes.lock().expect("no panic").extend([Does::Silent; 1000]);
+    writes.lock().expect("no panic").extend([ScriptedReply::NoAnswer; 1000]);
     let all: Vec<&Host> = there.iter().chain(&here).collect();
-    let node = node(&Registry::start(&all), 256);
+    let node = start_node(&Registry::start(&all), 256);
     let ends: Vec<(String, Instant)> = thread::scope(|scope| {
         let asks = (0..40).map(|i| {
             let (id, address) = (format!("cut{i:03}"), node.address());
-            let call = call(&id, "Connection: close\r\n").replace("Remaining-Ms: 2500", "Remaining-Ms: 1200");
+            let call = request_text(&id, "Connection: close\r\n")
+                .replace("Remaining-Ms: 2500", "Remaining-Ms: 1200");
             scope.spawn(move || {
-                let answer = ask(address, &call);
+                let answer = exchange(address, &call);
                 assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
                 (id, Instant::now())
             })
@@ -384,7 +403,7 @@
         thread::sleep(Duration::from_millis(400));
         let read = there.iter().flat_map(Host::calls).filter(|(call, ..)| call.starts_with("POST")).count();
         assert!(read >= 40, "{read} calls before the cut");
-        there.iter().for_each(|host| host.cut.store(true, Ordering::SeqCst));
+        there.iter().for_each(|host| host.unreachable.store(true, Ordering::SeqCst));
         asks.into_iter().map(|ask| ask.join().expect("no panic")).collect()
     });
     // The stated time is a second from the last outcome.
@@ -415,19 +434,19 @@
 #[test]
 fn a_stop_waits_for_what_is_held() {
     for (back, told) in [(Some(Duration::from_millis(1200)), true), (None, false)] {
-        let p = platform(256);
+        let p = start_platform(256);
         let hosts = [p.r1.clone(), p.w1.clone(), p.w2.clone()];
-        p.w1.does(&[Does::Silent; 50]);
+        p.w1.script_replies(&[ScriptedReply::NoAnswer; 50]);
         let address = p.node.address();
-        let call = call("held", "").replace("Remaining-Ms: 2500", "Remaining-Ms: 600");
-        let asks = thread::spawn(move || ask(address, &call));
+        let call = request_text("held", "").replace("Remaining-Ms: 2500", "Remaining-Ms: 600");
+        let asks = thread::spawn(move || exchange(address, &call));
         thread::sleep(Duration::from_millis(300));
-        hosts.iter().for_each(|host| host.cut.store(true, Ordering::SeqCst));
+        hosts.iter().for_each(|host| host.unreachable.store(true, Ordering::SeqCst));
         thread::spawn({
             let hosts = hosts.clone();
             move || {
                 thread::sleep(back.unwrap_or(Duration::from_secs(20)));
-                hosts.iter().for_each(|host| host.cut.store(false, Ordering::SeqCst));
+                hosts.iter().for_each(|host| host.unreachable.store(false, Ordering::SeqCst));
             }
         });
         let from = Instant::now();
@@ -442,7 +461,7 @@
 /// A fleet of 1,024 hosts for one of 1,024 dispatchers, six in ten of which are replaced under new names at once.
 #[test]
 fn a_thousand_hosts_are_listed_and_replaced() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let script = Script::default();
     let (reader, writer) = (Host::start("r", &script), Host::start("w", &script));
     let named = |i: usize| {
@@ -457,18 +476,22 @@
     let hosts: Vec<Host> = (0..1024).map(named).collect();
     let registry = Registry::start(&hosts.iter().collect::<Vec<_>>());
     let before = memory();
-    let node = node_of(&registry, 256, 1024);
+    let node = start_fleet_node(&registry, 256, 1024);
     let serve = |from: usize| {
         for i in from..from + 40 {
             let id = format!("many{i:04}");
-            let answer = ask(node.address(), &call(&id, "Connection: close\r\n"));
-            assert!(whole(&answer, &id), "{i}: {answer}");
+            let answer = exchange(node.address(), &request_text(&id, "Connection: close\r\n"));
+            assert!(is_complete_stream(&answer, &id), "{i}: {answer}");
         }
     };
     serve(0);
     let from = Instant::now();
     for (i, host) in hosts.iter().enumerate().take(614) {
-        registry.tell(format!("{},{}", line(host, "left"), line(&named(2000 + i), "active")));
+        registry.publish(format!(
+            "{},{}",
+            registry_line(host, "left"),
+            registry_line(&named(2000 + i), "active")
+        ));
     }
     serve(40);
     serve(80);
