--- a/crates/cli/tests/held_states.rs
+++ b/crates/cli/tests/held_states.rs
@@ -1,5 +1,5 @@
-//! The program with a fault proxy before each host: what readers hold for a request is taken by a writer or released in
-//! the stated time, whatever becomes of the bytes that were written.
+//! The program with a fault proxy in front of each host. A state that a reader holds for a request must be fetched by a
+//! writer or released within the configured time, even if written bytes never arrive.
 
 #[path = "../../node/tests/platform/mod.rs"]
 mod platform;
@@ -8,26 +8,26 @@
 
 use platform::proxy::{Fault, Proxy};
 use platform::*;
-use running::{Running, ms};
+use running::{NodeProcess, ms};
 use std::collections::BTreeMap;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The stated time of the settings, with what the operators add to it.
-const RELEASE: Duration = Duration::from_millis(1300);
+/// The longest that a state may be held: the configured release time of 1 s and the operators' tolerance of 300 ms.
+const MAX_HELD: Duration = Duration::from_millis(1300);
 
 const READERS: [&str; 2] = ["r1", "r2"];
 const WRITERS: [&str; 4] = ["w1", "w2", "w3", "w4"];
 
-/// How late an answer may be before its request counts as lost.
-const LATE: Duration = Duration::from_millis(500);
+/// How long after its deadline an answer may come before the request counts as unanswered.
+const ANSWER_MARGIN: Duration = Duration::from_millis(500);
 
-/// Requests under each fault.
+/// Requests sent under each fault.
 const REQUESTS: usize = 60;
 
-/// A program in service with a proxy before each of its hosts.
+/// A running program with a proxy in front of each of its hosts.
 struct Fleet {
-    running: Running,
+    process: NodeProcess,
     hosts: Vec<(Host, Proxy)>,
     _registry: Registry,
 }
@@ -43,20 +43,21 @@
         };
         let hosts: Vec<(Host, Proxy)> = READERS.into_iter().chain(WRITERS).map(behind_proxy).collect();
         let registry = Registry::start(&hosts.iter().map(|(host, _)| host).collect::<Vec<_>>());
-        let settings = |told: &str| told.replace("\"Idempotency\":\"pure\"", idempotency);
-        let running = Running::start_with(name, &registry, 512, settings).ready();
-        Fleet { running, hosts, _registry: registry }
+        let settings = |config: &str| config.replace("\"Idempotency\":\"pure\"", idempotency);
+        let process = NodeProcess::start_with(name, &registry, 512, settings).wait_ready();
+        Fleet { process, hosts, _registry: registry }
     }
 
-    /// Sends requests side by side; how many were answered whole, and how many at all.
-    fn send(&self, name: &str, requests: usize, left_ms: u64) -> Answers {
-        let address = self.running.address;
-        let asks: Vec<_> = (0..requests)
+    /// Sends requests concurrently; counts the complete answers, and the answers of any kind that came in time.
+    fn send(&self, name: &str, requests: usize, remaining_ms: u64) -> Answers {
+        let address = self.process.address;
+        let clients: Vec<_> = (0..requests)
             .map(|i| {
                 let id = format!("{name}{i:03}");
-                let left = format!("Remaining-Ms: {left_ms}");
-                let call = request_text(&id, "Connection: close\r\n").replace("Remaining-Ms: 2500", &left);
-                // Over some hundred milliseconds, as clients of their own would.
+                let remaining = format!("Remaining-Ms: {remaining_ms}");
+                let call =
+                    request_text(&id, "Connection: close\r\n").replace("Remaining-Ms: 2500", &remaining);
+                // Spread over some hundred milliseconds, as requests of independent clients are.
                 thread::sleep(ms(4));
                 thread::spawn(move || {
                     let from = Instant::now();
@@ -65,53 +66,54 @@
             })
             .collect();
         let mut answers = Answers::default();
-        for ask in asks {
-            let (answer, id, took) = ask.join().expect("no panic");
+        for client in clients {
+            let (answer, id, took) = client.join().expect("no panic");
             answers.whole += usize::from(is_complete_stream(&answer, &id));
-            answers.given += usize::from(answer.starts_with("HTTP/1.1") && took <= ms(left_ms) + LATE);
+            answers.answered +=
+                usize::from(answer.starts_with("HTTP/1.1") && took <= ms(remaining_ms) + ANSWER_MARGIN);
         }
         answers
     }
 
-    /// All hosts named so, under a fault from now on.
+    /// Sets the fault on the hosts with these names.
     fn fault(&self, names: &[&str], fault: Fault) {
         let named = self.hosts.iter().filter(|(host, _)| names.contains(&host.name));
         named.for_each(|(_, proxy)| proxy.set(fault));
     }
 
-    /// For each request named so, what reached a running host, in order of time: method, host, when.
-    fn arrivals(&self, name: &str) -> BTreeMap<String, Vec<(Arrival, Instant)>> {
-        let mut arrivals: BTreeMap<String, Vec<(Arrival, Instant)>> = BTreeMap::new();
+    /// For each request whose id begins with `name`: what reached the hosts for it and when, in order of time.
+    fn host_requests(&self, name: &str) -> BTreeMap<String, Vec<(HostRequest, Instant)>> {
+        let mut host_requests: BTreeMap<String, Vec<(HostRequest, Instant)>> = BTreeMap::new();
         for (host, _) in &self.hosts {
             for (call, id, at) in host.calls() {
                 let id = call.rsplit_once("reservations/").map_or(id, |(_, id)| id.to_owned());
-                let arrival = match (call.starts_with("DELETE"), host.name.starts_with('r')) {
-                    (true, _) => Arrival::Release,
-                    (false, true) => Arrival::Read,
-                    (false, false) => Arrival::Write,
+                let host_request = match (call.starts_with("DELETE"), host.name.starts_with('r')) {
+                    (true, _) => HostRequest::Release,
+                    (false, true) => HostRequest::Read,
+                    (false, false) => HostRequest::Write,
                 };
                 if id.starts_with(name) {
-                    arrivals.entry(id).or_default().push((arrival, at));
+                    host_requests.entry(id).or_default().push((host_request, at));
                 }
             }
         }
-        arrivals.values_mut().for_each(|arrivals| arrivals.sort_by_key(|(_, at)| *at));
-        arrivals
+        host_requests.values_mut().for_each(|host_requests| host_requests.sort_by_key(|(_, at)| *at));
+        host_requests
     }
 
-    /// Requests whose state was held for longer than is allowed, and for how long.
+    /// Requests whose state was held for longer than `MAX_HELD`, with the time held.
     fn overdue(&self, name: &str) -> Vec<(String, Duration)> {
         let now = Instant::now();
-        let arrivals = self.arrivals(name).into_iter();
-        let spans = arrivals.map(|(id, arrivals)| (id, longest_held(&arrivals, now)));
-        spans.filter(|(_, span)| *span > RELEASE).collect()
+        let host_requests = self.host_requests(name).into_iter();
+        let spans = host_requests.map(|(id, host_requests)| (id, longest_held(&host_requests, now)));
+        spans.filter(|(_, span)| *span > MAX_HELD).collect()
     }
 
-    /// Fails with the program's own lines on the first state that was held for too long.
+    /// Fails with the program's log lines on the first request whose state was held for too long.
     fn assert_released_in_time(&self, name: &str, answers: &Answers) {
         let overdue = self.overdue(name);
         let Some((id, _)) = overdue.first() else { return };
-        let log = self.running.log();
+        let log = self.process.log();
         let lines: Vec<&str> = log.lines().filter(|line| line.contains(id.as_str())).collect();
         panic!("{name}: {} overdue, {overdue:?}, {answers:?}\n{}", overdue.len(), lines.join("\n"));
     }
@@ -120,59 +122,65 @@
 #[derive(Debug, Default)]
 struct Answers {
     whole: usize,
-    given: usize,
+    answered: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Arrival {
+enum HostRequest {
     Read,
     Write,
     Release,
 }
 
-/// From each read to what takes its state or releases it. A further read is an attempt that is out.
-fn longest_held(arrivals: &[(Arrival, Instant)], now: Instant) -> Duration {
+/// The longest time from a read to the write that fetches its state or to the release. A further read ends the time as
+/// well: it is another attempt in progress.
+fn longest_held(host_requests: &[(HostRequest, Instant)], now: Instant) -> Duration {
     let mut longest = Duration::ZERO;
-    for (i, (arrival, at)) in arrivals.iter().enumerate() {
-        if *arrival == Arrival::Read {
-            let ends = arrivals.get(i + 1).map_or(now, |(_, ends)| *ends);
-            longest = longest.max(ends - *at);
+    for (i, (host_request, at)) in host_requests.iter().enumerate() {
+        if *host_request == HostRequest::Read {
+            let end = host_requests.get(i + 1).map_or(now, |(_, end)| *end);
+            longest = longest.max(end - *at);
         }
     }
     longest
 }
 
-const UNSAFE: &str = "\"Idempotency\":\"side_effect\"";
-const KEYED: &str = "\"Idempotency\":\"token\",\"WindowUs\":5000000";
-const SAFE: &str = "\"Idempotency\":\"pure\"";
+const SIDE_EFFECT: &str = "\"Idempotency\":\"side_effect\"";
+const TOKEN: &str = "\"Idempotency\":\"token\",\"WindowUs\":5000000";
+const PURE: &str = "\"Idempotency\":\"pure\"";
 
-/// Writers' connections are warm, then silent: the bytes of an attempt are taken and reach nobody. The attempt is not out
-/// then, and the time of the state runs on.
+/// Connections to writers work at first, then accept bytes and lose them. Such an attempt has not reached its writer. If it
+/// counts as in progress, the release of the state starts too late.
 #[test]
 fn a_held_state_is_released_in_time_though_an_attempt_was_written() {
-    for (name, class, silent) in [
-        ("unsafe", UNSAFE, &WRITERS[..1]),
-        ("unsafeall", UNSAFE, &WRITERS[..]),
-        ("keyedall", KEYED, &WRITERS[..]),
-        ("safeall", SAFE, &WRITERS[..]),
+    for (name, idempotency, silent_writers) in [
+        ("unsafe", SIDE_EFFECT, &WRITERS[..1]),
+        ("unsafeall", SIDE_EFFECT, &WRITERS[..]),
+        ("keyedall", TOKEN, &WRITERS[..]),
+        ("safeall", PURE, &WRITERS[..]),
     ] {
-        let fleet = Fleet::start(name, class, &Script::default());
-        assert_eq!(fleet.send("warm", REQUESTS, 2500).whole, REQUESTS, "{name}: all well");
-        fleet.fault(silent, Fault::Silent);
+        let fleet = Fleet::start(name, idempotency, &Script::default());
+        assert_eq!(
+            fleet.send("warm", REQUESTS, 2500).whole,
+            REQUESTS,
+            "{name}: all answered before the fault"
+        );
+        fleet.fault(silent_writers, Fault::Silent);
         let answers = fleet.send(name, REQUESTS, 2500);
-        thread::sleep(RELEASE);
+        thread::sleep(MAX_HELD);
         fleet.assert_released_in_time(name, &answers);
-        assert_eq!(answers.given, REQUESTS, "{name}: {answers:?}");
+        assert_eq!(answers.answered, REQUESTS, "{name}: {answers:?}");
     }
 }
 
-/// Connections that fall silent in other ways, for a while or for good: states are released in time, every request gets its
-/// answer, and what must not be repeated reaches one writer at most, also what arrives late.
+/// Connections lose or delay bytes in other ways, for a time or permanently. Without a release and retry rule for each,
+/// states are held too long, requests stay unanswered, or a request with a side effect reaches two writers, the second by
+/// bytes that arrive late.
 #[test]
-fn states_are_released_and_nothing_is_repeated_whatever_falls_silent() {
+fn states_are_released_and_side_effects_not_repeated_when_connections_lose_bytes() {
     let half = &["w1", "w2", "r1"][..];
     let all_but_one = &["w1", "w2", "w3", "w4", "r1"][..];
-    for (name, faulty, fault, lasts) in [
+    for (name, faulty_hosts, fault, duration) in [
         ("half", half, Fault::Silent, None),
         ("allbutone", all_but_one, Fault::Silent, None),
         ("lostanswers", &WRITERS[..], Fault::DropsAnswers, None),
@@ -181,35 +189,41 @@
         ("late", &WRITERS[..], Fault::Delays, Some(ms(1500))),
         ("latehalf", half, Fault::Delays, Some(ms(900))),
     ] {
-        let fleet = Fleet::start(name, UNSAFE, &Script::default());
-        assert_eq!(fleet.send("warm", REQUESTS, 2500).whole, REQUESTS, "{name}: all well");
-        fleet.fault(faulty, fault);
+        let fleet = Fleet::start(name, SIDE_EFFECT, &Script::default());
+        assert_eq!(
+            fleet.send("warm", REQUESTS, 2500).whole,
+            REQUESTS,
+            "{name}: all answered before the fault"
+        );
+        fleet.fault(faulty_hosts, fault);
         let answers = thread::scope(|scope| {
-            let asks = scope.spawn(|| fleet.send(name, REQUESTS, 2500));
-            if let Some(lasts) = lasts {
-                thread::sleep(lasts);
-                fleet.fault(faulty, Fault::None);
+            let clients = scope.spawn(|| fleet.send(name, REQUESTS, 2500));
+            if let Some(duration) = duration {
+                thread::sleep(duration);
+                fleet.fault(faulty_hosts, Fault::None);
             }
-            asks.join().expect("no panic")
+            clients.join().expect("no panic")
         });
-        thread::sleep(RELEASE);
+        thread::sleep(MAX_HELD);
         fleet.assert_released_in_time(name, &answers);
-        assert_eq!(answers.given, REQUESTS, "{name}: {answers:?}");
-        for (id, arrivals) in fleet.arrivals(name) {
-            let writes = arrivals.iter().filter(|(arrival, _)| *arrival == Arrival::Write).count();
-            assert!(writes <= 1, "{id}: {writes} writers had it");
+        assert_eq!(answers.answered, REQUESTS, "{name}: {answers:?}");
+        for (id, host_requests) in fleet.host_requests(name) {
+            let writes =
+                host_requests.iter().filter(|(host_request, _)| *host_request == HostRequest::Write).count();
+            assert!(writes <= 1, "{id}: {writes} writers got the request");
         }
     }
 }
 
-/// A stop while writers are silent: each request gets its answer and each state is released before the program ends.
+/// A stop while writers do not answer. Without a wait for releases, the program exits with requests unanswered or states
+/// held.
 #[test]
-fn a_stop_releases_what_silent_writers_did_not_take() {
-    let mut fleet = Fleet::start("stop", UNSAFE, &Script::default());
+fn a_stop_releases_states_that_silent_writers_did_not_fetch() {
+    let mut fleet = Fleet::start("stop", SIDE_EFFECT, &Script::default());
     assert_eq!(fleet.send("warm", REQUESTS, 2500).whole, REQUESTS);
     fleet.fault(&WRITERS, Fault::Silent);
-    let address = fleet.running.address;
-    let asks: Vec<_> = (0..20)
+    let address = fleet.process.address;
+    let clients: Vec<_> = (0..20)
         .map(|i| {
             thread::spawn(move || {
                 exchange(address, &request_text(&format!("stop{i:03}"), "Connection: close\r\n"))
@@ -217,24 +231,26 @@
         })
         .collect();
     thread::sleep(ms(200));
-    fleet.running.signal("-TERM");
-    let (status, _) = fleet.running.ends(ms(6000));
+    fleet.process.signal("-TERM");
+    let (status, _) = fleet.process.wait_for_exit(ms(6000));
     assert!(status.success(), "{status}");
-    let answers = asks.into_iter().map(|ask| ask.join().expect("no panic"));
+    let answers = clients.into_iter().map(|client| client.join().expect("no panic"));
     assert_eq!(answers.filter(|answer| answer.starts_with("HTTP/1.1 500")).count(), 20);
     fleet.assert_released_in_time("stop", &Answers::default());
 }
 
-/// Writers that are slow to a first token are sound: each request is answered, by one attempt.
+/// Writers with a slow first token are not faulty. If they are taken for silent ones, attempts are abandoned and requests
+/// fail.
 #[test]
 fn a_slow_writer_keeps_its_attempts() {
     let writes = Script::default();
-    let fleet = Fleet::start("slow", UNSAFE, &writes);
+    let fleet = Fleet::start("slow", SIDE_EFFECT, &writes);
     writes.lock().expect("no panic").extend([ScriptedReply::DelayMs(1600); REQUESTS]);
     let answers = fleet.send("slow", REQUESTS, 2500);
     assert_eq!(answers.whole, REQUESTS, "{answers:?}");
-    for (id, arrivals) in fleet.arrivals("slow") {
-        let writes = arrivals.iter().filter(|(arrival, _)| *arrival == Arrival::Write).count();
+    for (id, host_requests) in fleet.host_requests("slow") {
+        let writes =
+            host_requests.iter().filter(|(host_request, _)| *host_request == HostRequest::Write).count();
         assert_eq!(writes, 1, "{id}");
     }
 }
--- a/crates/cli/tests/running/mod.rs
+++ b/crates/cli/tests/running/mod.rs
@@ -1,5 +1,5 @@
-//! The program as the platform starts it: a process with its configuration in a file, signals, its end.
-#![allow(dead_code)] // each test file uses its part
+//! Runs the program as the platform does: as a process with a configuration file, signals and an exit status.
+#![allow(dead_code)] // each test file uses a part of this module
 
 use crate::platform::{Registry, config, exchange};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -13,26 +13,27 @@
     Duration::from_millis(ms)
 }
 
-/// A port on a loopback address that nothing else has: a port that was free on the common address a moment ago may be
-/// another program's or a connection's by now, and one of the two then fails to listen.
-fn own_address() -> SocketAddr {
-    static TAKEN: AtomicU8 = AtomicU8::new(1);
+/// A free port on a loopback address that no other test or program uses. A port that was free on 127.0.0.1 may be taken by
+/// another program or connection before the process under test binds it; without this, its start fails at times.
+fn unused_address() -> SocketAddr {
+    static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
     let [.., high, low] = std::process::id().to_be_bytes();
-    let ip = Ipv4Addr::new(127, high.max(1), low, TAKEN.fetch_add(1, Ordering::Relaxed));
+    let ip = Ipv4Addr::new(127, high.max(1), low, NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed));
     let listener = TcpListener::bind((ip, 0)).expect("a port");
     listener.local_addr().expect("an address")
 }
 
-pub struct Running {
+/// A running `tulipstall node` process. It is killed and its files are removed on drop.
+pub struct NodeProcess {
     child: Child,
     pub address: SocketAddr,
     pub file: PathBuf,
     log: PathBuf,
-    /// What the file says.
-    pub told: String,
+    /// The configuration text at start.
+    pub config_text: String,
 }
 
-impl Drop for Running {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -41,23 +42,24 @@
     }
 }
 
-impl Running {
-    /// Under the system's own bound on descriptors; not ready yet.
-    pub fn start(name: &str, registry: &Registry, sockets: usize) -> Running {
+impl NodeProcess {
+    /// Starts the process with a descriptor limit (`ulimit -n`) of `sockets`. It listens but may not be ready yet.
+    pub fn start(name: &str, registry: &Registry, sockets: usize) -> NodeProcess {
         Self::start_with(name, registry, sockets, str::to_owned)
     }
 
-    /// With its configuration changed before.
+    /// Like `start`, with the configuration text passed through `change`.
     pub fn start_with(
         name: &str,
         registry: &Registry,
         sockets: usize,
         change: impl Fn(&str) -> String,
-    ) -> Running {
-        let address = own_address();
+    ) -> NodeProcess {
+        let address = unused_address();
         let file = std::env::temp_dir().join(format!("tulipstall-{name}-{}.json", std::process::id()));
-        let told = change(&config(registry, sockets, 1)).replacen("127.0.0.1:0", &address.to_string(), 1);
-        std::fs::write(&file, &told).expect("a file");
+        let config_text =
+            change(&config(registry, sockets, 1)).replacen("127.0.0.1:0", &address.to_string(), 1);
+        std::fs::write(&file, &config_text).expect("a file");
         let program = env!("CARGO_BIN_EXE_tulipstall");
         let mut command = Command::new("sh");
         command
@@ -66,55 +68,60 @@
         let log = file.with_extension("log");
         let stderr = std::fs::File::create(&log).expect("a log");
         let child = command.stderr(Stdio::from(stderr)).spawn().expect("the program");
-        let mut running = Running { child, address, file, log, told };
-        running.until("it does not listen", ms(10_000), || TcpStream::connect(address).is_ok());
-        running
+        let mut process = NodeProcess { child, address, file, log, config_text };
+        process.wait_until("the process does not listen", ms(10_000), || TcpStream::connect(address).is_ok());
+        process
     }
 
-    pub fn ready(mut self) -> Running {
-        let ready = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    /// Waits until the process is ready.
+    pub fn wait_ready(mut self) -> NodeProcess {
+        let request = "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         let address = self.address;
-        self.until("never ready", ms(10_000), || exchange(address, ready).starts_with("HTTP/1.1 200"));
+        self.wait_until("the process does not become ready", ms(10_000), || {
+            exchange(address, request).starts_with("HTTP/1.1 200")
+        });
         self
     }
 
-    /// What it has written to standard error.
+    /// What the process has written to standard error.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    fn until(&mut self, otherwise: &str, within: Duration, is: impl Fn() -> bool) {
-        let until = Instant::now() + within;
-        while !is() {
-            let ended = self.child.try_wait().expect("a child");
-            assert!(ended.is_none(), "{otherwise}: it has ended, {ended:?}: {}", self.log());
-            assert!(Instant::now() < until, "{otherwise}");
+    fn wait_until(&mut self, failure: &str, within: Duration, condition: impl Fn() -> bool) {
+        let give_up_at = Instant::now() + within;
+        while !condition() {
+            let exit_status = self.child.try_wait().expect("a child");
+            assert!(exit_status.is_none(), "{failure}: it has exited, {exit_status:?}: {}", self.log());
+            assert!(Instant::now() < give_up_at, "{failure}");
             thread::sleep(ms(10));
         }
     }
 
-    /// What it is told once the registry is elsewhere.
-    pub fn told_of(&self, from: &Registry, to: &Registry) -> String {
-        self.told.replace(&from.address.to_string(), &to.address.to_string())
+    /// The configuration text with the address of registry `from` replaced by that of `to`.
+    pub fn config_with_registry(&self, from: &Registry, to: &Registry) -> String {
+        self.config_text.replace(&from.address.to_string(), &to.address.to_string())
     }
 
+    /// Overwrites the configuration file.
     pub fn write(&self, text: &str) {
         std::fs::write(&self.file, text).expect("a file");
     }
 
+    /// Sends the process a signal, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args([name, &self.child.id().to_string()]).status();
         assert!(status.is_ok_and(|status| status.success()), "{name}");
     }
 
-    /// How it ends, and after how long.
-    pub fn ends(&mut self, within: Duration) -> (ExitStatus, Duration) {
-        let from = Instant::now();
+    /// Waits for the process to exit; returns its status and the time waited.
+    pub fn wait_for_exit(&mut self, within: Duration) -> (ExitStatus, Duration) {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
-                return (status, from.elapsed());
+                return (status, started.elapsed());
             }
-            assert!(from.elapsed() < within, "it does not end");
+            assert!(started.elapsed() < within, "the process does not exit");
             thread::sleep(ms(5));
         }
     }
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,11 +1,11 @@
-//! Signals that cross each other, a start, requests and a configuration that is being written.
+//! Signals that arrive during a start, a stop, requests or a partial write of the configuration file.
 
 #[path = "../../node/tests/platform/mod.rs"]
 mod platform;
 mod running;
 
 use platform::*;
-use running::{Running, ms};
+use running::{NodeProcess, ms};
 use std::io::Write;
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -18,147 +18,165 @@
     (Host::start("r1", &reads), Host::start("w1", &writes), Host::start("w2", &writes))
 }
 
-/// A stop begins when it is asked for, whatever else the process is at, and what was taken is answered whole.
+/// SIGTERM starts the stop at once in every state of the process. Without this, a pending reload, an earlier stop or an
+/// unfinished start delays the exit, or an accepted request loses its answer.
 #[test]
-fn a_stop_waits_for_nothing_but_what_is_owed() {
+fn a_stop_waits_only_for_accepted_requests() {
     #[derive(Clone, Copy, Debug)]
-    enum Before {
+    enum Condition {
         Nothing,
-        /// The configuration is half written, and told of.
+        /// The configuration file is half written when SIGHUP arrives.
         HalfWritten,
-        /// Told again and again.
-        Pressed,
-        /// Told to stop before, so long ago.
-        Stopping(u64),
-        /// Not ready yet, as the registry is silent.
+        /// SIGHUP arrives 20 times in a row.
+        RepeatedReload,
+        /// SIGTERM was sent before, this many milliseconds ago.
+        AlreadyStopping(u64),
+        /// Not ready yet, because the registry does not answer.
         Starting,
     }
-    use Before::*;
+    use Condition::*;
     thread::scope(|scope| {
-        for (i, before) in
-            [Nothing, HalfWritten, Pressed, Stopping(50), Stopping(600), Starting].into_iter().enumerate()
+        for (i, condition) in
+            [Nothing, HalfWritten, RepeatedReload, AlreadyStopping(50), AlreadyStopping(600), Starting]
+                .into_iter()
+                .enumerate()
         {
             scope.spawn(move || {
                 let (r1, w1, w2) = hosts();
                 let registry = Registry::start(&[&r1, &w1, &w2]);
-                registry.down.store(matches!(before, Starting), Ordering::SeqCst);
-                let mut running = Running::start(&format!("stops{i}"), &registry, 256);
+                registry.down.store(matches!(condition, Starting), Ordering::SeqCst);
+                let mut process = NodeProcess::start(&format!("stops{i}"), &registry, 256);
                 let mut stream = None;
-                if !matches!(before, Starting) {
-                    running = running.ready();
-                    // Its answer ends some 1.2 s after the stop was asked for.
+                if !matches!(condition, Starting) {
+                    process = process.wait_ready();
+                    // The answer ends about 1.2 s after SIGTERM.
                     w1.script_replies(&[ScriptedReply::PauseMs(1300)]);
-                    let mut asked = connect(running.address);
-                    asked.write_all(request_text("owed", CLOSE).as_bytes()).expect("a call");
+                    let mut request = connect(process.address);
+                    request.write_all(request_text("owed", CLOSE).as_bytes()).expect("a call");
                     thread::sleep(ms(100));
-                    stream = Some(asked);
+                    stream = Some(request);
                 }
-                match before {
+                match condition {
                     Nothing | Starting => {}
                     HalfWritten => {
-                        running.write(&running.told[..running.told.len() / 2]);
-                        running.signal("-HUP");
+                        process.write(&process.config_text[..process.config_text.len() / 2]);
+                        process.signal("-HUP");
                         thread::sleep(ms(100));
                     }
-                    Pressed => (0..20).for_each(|_| {
-                        running.signal("-HUP");
+                    RepeatedReload => (0..20).for_each(|_| {
+                        process.signal("-HUP");
                         thread::sleep(ms(5));
                     }),
-                    Stopping(span) => {
-                        running.signal("-TERM");
+                    AlreadyStopping(span) => {
+                        process.signal("-TERM");
                         thread::sleep(ms(span));
                     }
                 }
-                running.signal("-TERM");
-                let (status, took) = running.ends(ms(8000));
-                assert!(status.success(), "{before:?}: {status}");
-                // 450 ms in which all is taken, the answer, and some room for a busy machine.
-                let most = if stream.is_some() { ms(1200 + 600) } else { ms(450 + 600) };
-                assert!(took < most, "{before:?}: {took:?}");
+                process.signal("-TERM");
+                let (status, took) = process.wait_for_exit(ms(8000));
+                assert!(status.success(), "{condition:?}: {status}");
+                // 450 ms in which requests are still accepted, the answer, and 600 ms of margin for a busy machine.
+                let limit = if stream.is_some() { ms(1200 + 600) } else { ms(450 + 600) };
+                assert!(took < limit, "{condition:?}: {took:?}");
                 if let Some(mut stream) = stream {
                     let mut answer = String::new();
                     let _ = std::io::Read::read_to_string(&mut stream, &mut answer);
-                    assert!(is_complete_stream(&answer, "owed"), "{before:?}: {answer}");
+                    assert!(is_complete_stream(&answer, "owed"), "{condition:?}: {answer}");
                 }
             });
         }
     });
 }
 
-/// How long after a drain was told to the registry that counts the last request went to that host.
-fn last_after(host: &Host, told: Instant) -> Duration {
+/// Time from `published`, when the current registry got the drain, to the last request sent to this host.
+fn last_request_after(host: &Host, published: Instant) -> Duration {
     let calls = host.calls().into_iter().filter(|(call, ..)| call.starts_with("POST"));
-    calls.map(|(.., at)| at.saturating_duration_since(told)).max().unwrap_or_default()
+    calls.map(|(.., at)| at.saturating_duration_since(published)).max().unwrap_or_default()
 }
 
-/// The registry moves while something else goes on: what the new one tells is heard in the time that a move may take.
+/// The configuration names a new registry while something else happens. Without this, a drain that the new registry
+/// publishes takes effect late or never, and requests still go to the draining host.
 #[test]
-fn a_move_is_heard_whatever_it_crosses() {
+fn a_new_registry_takes_effect_whatever_happens_meanwhile() {
     #[derive(Clone, Copy, Debug, PartialEq)]
-    enum Crosses {
+    enum Concurrent {
         Nothing,
-        /// The file is whole only so long after it was told of.
-        Written(u64),
-        /// To the next one and back within moments, and then for good.
+        /// The file is complete only this many milliseconds after SIGHUP.
+        WrittenInParts(u64),
+        /// The address changes back and forth every 20 ms, then stays at the new one.
         BackAndForth,
-        /// The old one has just fallen silent, with the watch open.
-        Silence,
-        /// The new one comes up so long after.
-        Away(u64),
-        /// A stop is under way, with requests in hand.
+        /// The old registry has just stopped answering, with a watch open.
+        OldRegistrySilent,
+        /// The new registry answers only this many milliseconds later.
+        NewRegistryDown(u64),
+        /// A stop is in progress, with unanswered requests.
         Stop,
     }
-    use Crosses::*;
+    use Concurrent::*;
     thread::scope(|scope| {
-        let all = [Nothing, Written(1000), Written(3000), BackAndForth, Silence, Away(1500), Stop];
-        for (i, crosses) in all.into_iter().enumerate() {
+        let cases = [
+            Nothing,
+            WrittenInParts(1000),
+            WrittenInParts(3000),
+            BackAndForth,
+            OldRegistrySilent,
+            NewRegistryDown(1500),
+            Stop,
+        ];
+        for (i, concurrent) in cases.into_iter().enumerate() {
             scope.spawn(move || {
                 let (r1, w1, w2) = hosts();
                 let registry = Registry::start(&[&r1, &w1, &w2]);
-                let next = Registry::start(&[&r1, &w1, &w2]);
-                let mut running = Running::start(&format!("moves{i}"), &registry, 256).ready();
+                let new_registry = Registry::start(&[&r1, &w1, &w2]);
+                let mut process = NodeProcess::start(&format!("moves{i}"), &registry, 256).wait_ready();
                 let serve = |id: &str| {
-                    let answer = exchange(running.address, &request_text(id, CLOSE));
-                    assert!(is_complete_stream(&answer, id), "{crosses:?}: {answer}");
+                    let answer = exchange(process.address, &request_text(id, CLOSE));
+                    assert!(is_complete_stream(&answer, id), "{concurrent:?}: {answer}");
                 };
                 (0..10).for_each(|k| serve(&format!("before{k}")));
-                let moved = running.told_of(&registry, &next);
-                let whole_file = |text: &str| {
-                    running.write(text);
-                    running.signal("-HUP");
+                let new_config = process.config_with_registry(&registry, &new_registry);
+                let write_and_reload = |text: &str| {
+                    process.write(text);
+                    process.signal("-HUP");
                 };
-                next.publish(registry_line(&w1, "leaving"));
-                let mut told = Instant::now();
-                match crosses {
-                    Nothing => whole_file(&moved),
-                    Written(span) => {
-                        whole_file(&moved[..moved.len() / 3]);
+                new_registry.publish(registry_line(&w1, "leaving"));
+                let mut published = Instant::now();
+                match concurrent {
+                    Nothing => write_and_reload(&new_config),
+                    WrittenInParts(span) => {
+                        write_and_reload(&new_config[..new_config.len() / 3]);
                         thread::sleep(ms(span));
-                        running.write(&moved);
-                        told += ms(span).saturating_sub(ms(100));
+                        process.write(&new_config);
+                        published += ms(span).saturating_sub(ms(100));
                     }
                     BackAndForth => {
-                        for text in [&moved, &running.told, &moved, &running.told, &moved] {
-                            whole_file(text);
+                        for text in [
+                            &new_config,
+                            &process.config_text,
+                            &new_config,
+                            &process.config_text,
+                            &new_config,
+                        ] {
+                            write_and_reload(text);
                             thread::sleep(ms(20));
                         }
                     }
-                    Silence => {
+                    OldRegistrySilent => {
                         registry.down.store(true, Ordering::SeqCst);
-                        whole_file(&moved);
+                        write_and_reload(&new_config);
                     }
-                    Away(span) => {
-                        next.down.store(true, Ordering::SeqCst);
-                        whole_file(&moved);
+                    NewRegistryDown(span) => {
+                        new_registry.down.store(true, Ordering::SeqCst);
+                        write_and_reload(&new_config);
                         thread::sleep(ms(span));
-                        next.down.store(false, Ordering::SeqCst);
+                        new_registry.down.store(false, Ordering::SeqCst);
                     }
                     Stop => {
-                        // Reads that end after the move: where each answer is written is decided only then.
+                        // The reads end after the move, so that each writer is chosen from the new list.
                         r1.script_replies(&[ScriptedReply::DelayMs(1500); 8]);
                         let answers: Vec<_> = (0..8)
                             .map(|k| {
-                                let mut stream = connect(running.address);
+                                let mut stream = connect(process.address);
                                 stream
                                     .write_all(request_text(&format!("reads{k}"), CLOSE).as_bytes())
                                     .expect("a call");
@@ -166,33 +184,37 @@
                             })
                             .collect();
                         thread::sleep(ms(100));
-                        running.signal("-TERM");
+                        process.signal("-TERM");
                         thread::sleep(ms(100));
-                        whole_file(&moved);
-                        let (status, _) = running.ends(ms(6000));
+                        write_and_reload(&new_config);
+                        let (status, _) = process.wait_for_exit(ms(6000));
                         assert!(status.success(), "{status}");
                         for (k, mut stream) in answers.into_iter().enumerate() {
                             let mut answer = String::new();
                             let _ = std::io::Read::read_to_string(&mut stream, &mut answer);
                             assert!(is_complete_stream(&answer, &format!("reads{k}")), "{answer}");
                         }
-                        assert!(last_after(&w1, told) < ms(800), "{:?}", last_after(&w1, told));
+                        assert!(
+                            last_request_after(&w1, published) < ms(800),
+                            "{:?}",
+                            last_request_after(&w1, published)
+                        );
                         return;
                     }
                 }
-                let until = told.max(Instant::now()) + ms(4000);
+                let end = published.max(Instant::now()) + ms(4000);
                 let mut k = 0;
-                while Instant::now() < until {
+                while Instant::now() < end {
                     serve(&format!("after{k}"));
                     k += 1;
                     thread::sleep(ms(10));
                 }
-                let last = last_after(&w1, told);
-                // A move is looked for every 50 ms; then the whole list, at once.
-                let most = if let Away(span) = crosses { ms(span + 400) } else { ms(600) };
-                assert!(last < most, "{crosses:?}: {last:?}");
-                running.signal("-TERM");
-                assert!(running.ends(ms(6000)).0.success(), "{crosses:?}");
+                let last_request = last_request_after(&w1, published);
+                // The configuration is checked every 50 ms; the complete list follows at once.
+                let limit = if let NewRegistryDown(span) = concurrent { ms(span + 400) } else { ms(600) };
+                assert!(last_request < limit, "{concurrent:?}: {last_request:?}");
+                process.signal("-TERM");
+                assert!(process.wait_for_exit(ms(6000)).0.success(), "{concurrent:?}");
             });
         }
     });
--- a/crates/node/tests/platform/mod.rs
+++ b/crates/node/tests/platform/mod.rs
@@ -522,10 +522,10 @@
 }
 
 pub fn start_platform(sockets: usize) -> Platform {
-    let alone = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
+    let exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let (reads, writes) = (Script::default(), Script::default());
     let (r1, w1, w2) = (Host::start("r1", &reads), Host::start("w1", &writes), Host::start("w2", &writes));
     let registry = Registry::start(&[&r1, &w1, &w2]);
     let node = start_node(&registry, sockets);
-    Platform { _exclusive: alone, r1, w1, w2, registry, node }
+    Platform { _exclusive: exclusive, r1, w1, w2, registry, node }
 }
