--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher adds, as ratios and differences in one run against the same clients that talk straight to the
-//! same stand-ins. Not a test: nothing here fails on a figure.
+//! Overhead of a dispatcher: latency, CPU and memory, compared within one run to the same clients that connect directly to
+//! the same simulated hosts. Not a test: no figure makes it fail.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,10 +16,11 @@
 use tulipstall_rig::load::{Load, Report, Target, run};
 use tulipstall_standin::{Role, Spec};
 
-/// Streams on at once, and milliseconds between two tokens of each.
-const STREAMS: [f64; 3] = [100.0, 400.0, 1000.0];
+/// Numbers of streams that are open at the same time.
+const CONCURRENT_STREAMS: [f64; 3] = [100.0, 400.0, 1000.0];
+/// Time between two tokens of a stream.
 const TOKEN_MS: f64 = 25.0;
-const TOKENS: u32 = 80;
+const TOKENS_PER_STREAM: u32 = 80;
 
 fn main() -> io::Result<()> {
     tulipstall_dispatcher::set_up_coroutines(Some(2), 256 << 10);
@@ -36,55 +37,59 @@
     let fleet = Fleet::start(&vec![spec; 4])?;
     let (child, listen, control) = start(&fleet)?;
     let pid = child.0.id();
-    let answer_s = f64::from(TOKENS) * TOKEN_MS / 1e3;
+    let answer_s = f64::from(TOKENS_PER_STREAM) * TOKEN_MS / 1e3;
     let load = |target: Target, per_second: f64, seconds: f64| Load {
         target,
         model: "chat-reply".to_owned(),
         per_second,
         seconds,
-        tokens: TOKENS,
+        tokens: TOKENS_PER_STREAM,
         prompt_bytes: 400,
         stream: true,
         key: None,
         pool: None,
     };
-    let straight = |per_second: f64, seconds: f64| {
+    let direct_load = |per_second: f64, seconds: f64| {
         let address = fleet.hosts[0].address;
         let pool = Arc::new(Pool::new(address, 4096, Duration::from_secs(4)));
         Load { pool: Some(pool), ..load(Target::Host(address), per_second, seconds) }
     };
-    // Warm-up, then the two in turn.
+    // Warm-up; then, for each number of streams, the direct load and the dispatched load in turn.
     run(&load(Target::Dispatcher(listen), 50.0, 1.0))?;
-    for streams in STREAMS {
-        println!("\n{streams:.0} streams on at once, {TOKENS} tokens each, a token each {TOKEN_MS} ms");
+    for streams in CONCURRENT_STREAMS {
+        println!(
+            "\n{streams:.0} streams on at once, {TOKENS_PER_STREAM} tokens each, a token each {TOKEN_MS} ms"
+        );
         println!(
             "{:12}{:>12}{:>12}{:>12}{:>12}{:>12}",
             "", "first p50", "first p99", "whole p50", "tokens/s", "delivered"
         );
-        let without = run(&straight(streams / answer_s, 6.0))?;
-        row("straight", &without);
+        let direct = run(&direct_load(streams / answer_s, 6.0))?;
+        print_row("straight", &direct);
         let (cpu, at) = (cpu_ms(pid), Instant::now());
-        let with = run(&load(Target::Dispatcher(listen), streams / answer_s, 6.0))?;
-        row("dispatched", &with);
-        let added = |part: f64| {
-            let of = |report: &Report| report.first.value_at_quantile(part) as f64 / 1e3;
-            of(&with) - of(&without)
+        let dispatched = run(&load(Target::Dispatcher(listen), streams / answer_s, 6.0))?;
+        print_row("dispatched", &dispatched);
+        let added_ms = |quantile: f64| {
+            let first_token_ms = |report: &Report| report.first.value_at_quantile(quantile) as f64 / 1e3;
+            first_token_ms(&dispatched) - first_token_ms(&direct)
         };
-        println!("added to a first token: {:.2} ms at p50, {:.2} ms at p99", added(0.5), added(0.99));
-        let used = (cpu_ms(pid) - cpu) as f64 / at.elapsed().as_secs_f64() / 10.0;
+        println!("added to a first token: {:.2} ms at p50, {:.2} ms at p99", added_ms(0.5), added_ms(0.99));
+        let cpu_percent = (cpu_ms(pid) - cpu) as f64 / at.elapsed().as_secs_f64() / 10.0;
         println!(
-            "dispatcher's CPU: {used:.0}% of a core, {:.0} us a task",
-            used * 1e4 * at.elapsed().as_secs_f64() / with.sent as f64
+            "dispatcher's CPU: {cpu_percent:.0}% of a core, {:.0} us a task",
+            cpu_percent * 1e4 * at.elapsed().as_secs_f64() / dispatched.sent as f64
         );
     }
     memory(pid, &load(Target::Dispatcher(listen), 400.0, 2.0))?;
-    let text =
-        String::from_utf8_lossy(&off(move || get(control, "/metrics")).unwrap_or_default()).into_owned();
-    let of = |name: &str| {
-        let line = text.lines().find(|line| line.starts_with(name));
+    let metrics =
+        String::from_utf8_lossy(&in_coroutine(move || get(control, "/metrics")).unwrap_or_default())
+            .into_owned();
+    let metric = |name: &str| {
+        let line = metrics.lines().find(|line| line.starts_with(name));
         line.and_then(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).unwrap_or(0.0)
     };
-    let (spent, events) = (of("tulipstall_deciding_nanoseconds_total"), of("tulipstall_events_total"));
+    let (spent, events) =
+        (metric("tulipstall_deciding_nanoseconds_total"), metric("tulipstall_events_total"));
     println!(
         "decisions: {:.1} us an event over {events:.0} events, of {} ms of CPU in all",
         spent / events / 1e3,
@@ -93,27 +98,29 @@
     Ok(())
 }
 
-struct Running(Child);
+/// A dispatcher in a process of its own, killed on drop.
+struct DispatcherProcess(Child);
 
-impl Drop for Running {
+impl Drop for DispatcherProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Does it in a coroutine.
-fn off<T: Send + 'static>(what: impl FnOnce() -> Option<T> + Send + 'static) -> Option<T> {
-    spawn(what).join().ok().flatten()
+/// Runs a function in a coroutine, as the network calls of the test rig require.
+fn in_coroutine<T: Send + 'static>(task: impl FnOnce() -> Option<T> + Send + 'static) -> Option<T> {
+    spawn(task).join().ok().flatten()
 }
 
-fn start(fleet: &Fleet) -> io::Result<(Running, SocketAddr, SocketAddr)> {
+/// Starts a dispatcher with these hosts; returns it with its client and control addresses.
+fn start(fleet: &Fleet) -> io::Result<(DispatcherProcess, SocketAddr, SocketAddr)> {
     let folder = std::env::temp_dir().join(format!("tulipstall-bench-{}", std::process::id()));
     fs::create_dir_all(&folder)?;
-    let mut own = settings("bench");
-    own.kinds.iter_mut().for_each(|kind| kind.memory_tokens = Some(1 << 40));
-    own.workers = Some(2);
-    let mut value = serde_json::to_value(&own).map_err(io::Error::other)?;
+    let mut dispatcher_settings = settings("bench");
+    dispatcher_settings.kinds.iter_mut().for_each(|kind| kind.memory_tokens = Some(1 << 40));
+    dispatcher_settings.workers = Some(2);
+    let mut value = serde_json::to_value(&dispatcher_settings).map_err(io::Error::other)?;
     value.as_object_mut().into_iter().for_each(|value| value.retain(|_, value| !value.is_null()));
     fs::write(folder.join("settings"), value.to_string())?;
     let addresses = folder.join("addresses");
@@ -124,25 +131,25 @@
         .arg(&addresses)
         .stdin(Stdio::null())
         .spawn()
-        .map(Running)?;
-    let told = loop {
+        .map(DispatcherProcess)?;
+    let addresses_json = loop {
         if let Ok(text) = fs::read_to_string(&addresses) {
             break serde_json::from_str::<serde_json::Value>(&text).map_err(io::Error::other)?;
         }
         thread::sleep(Duration::from_millis(10));
     };
     let _ = fs::remove_dir_all(&folder);
-    let address = |name: &str| told[name].as_str().and_then(|text| text.parse().ok());
+    let address = |name: &str| addresses_json[name].as_str().and_then(|text| text.parse().ok());
     let (Some(listen), Some(control)) = (address("listen"), address("control")) else {
-        return Err(io::Error::other("no addresses"));
+        return Err(io::Error::other("the dispatcher reported no addresses"));
     };
     let list = serde_json::to_string(&fleet.list()).unwrap_or_default();
-    off(move || post(control, "/v1/hosts", &list))
-        .ok_or_else(|| io::Error::other("the list is not taken"))?;
+    in_coroutine(move || post(control, "/v1/hosts", &list))
+        .ok_or_else(|| io::Error::other("the dispatcher rejected the host list"))?;
     Ok((child, listen, control))
 }
 
-fn row(name: &str, report: &Report) {
+fn print_row(name: &str, report: &Report) {
     let ms = |value: u64| value as f64 / 1e3;
     println!(
         "{name:12}{:>12.2}{:>12.2}{:>12.2}{:>12.0}{:>12}",
@@ -154,41 +161,41 @@
     );
 }
 
-fn proc(pid: u32, file: &str) -> String {
+fn proc_file(pid: u32, file: &str) -> String {
     fs::read_to_string(Path::new("/proc").join(pid.to_string()).join(file)).unwrap_or_default()
 }
 
-/// User and system time; the kernel counts in hundredths of a second.
+/// User and system CPU time in milliseconds. The kernel counts in hundredths of a second.
 fn cpu_ms(pid: u32) -> u64 {
-    let stat = proc(pid, "stat");
+    let stat = proc_file(pid, "stat");
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-    let of = |i: usize| fields.get(i).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0);
-    (of(11) + of(12)) * 10
+    let field = |i: usize| fields.get(i).and_then(|field| field.parse::<u64>().ok()).unwrap_or(0);
+    (field(11) + field(12)) * 10
 }
 
 fn resident_kb(pid: u32) -> u64 {
-    let status = proc(pid, "status");
+    let status = proc_file(pid, "status");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     line.and_then(|line| line.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-/// What each open stream holds, between few and many.
+/// Memory of an open stream: the growth of the resident size from few streams to many, per stream.
 fn memory(pid: u32, load: &Load) -> io::Result<()> {
     let before = resident_kb(pid);
     let long = Load { tokens: 200, ..load.clone() };
     let client = thread::spawn(move || run(&long));
     thread::sleep(Duration::from_millis(2500));
-    let on = resident_kb(pid);
-    let report = client.join().map_err(|_| io::Error::other("the load failed"))??;
+    let during = resident_kb(pid);
+    let report = client.join().map_err(|_| io::Error::other("the load thread panicked"))??;
     println!(
-        "\nmemory: {before} kB before, {on} kB with {} streams on: {:.1} kB a stream",
+        "\nmemory: {before} kB before, {during} kB with {} streams on: {:.1} kB a stream",
         report.sent,
-        on.saturating_sub(before) as f64 / report.sent as f64
+        during.saturating_sub(before) as f64 / report.sent as f64
     );
     Ok(())
 }
 
-/// Whole tasks that the core decides in a second, without any socket: read, write, delivered.
+/// Complete tasks (read, write, delivered) that the core decides per second, without sockets.
 fn decisions() {
     for hosts in [10u32, 100] {
         let mut core = Core::new(1, settings("bench").terms());
@@ -210,7 +217,7 @@
             out.clear();
             core.carried_out();
             let task = core.enter();
-            let ask = Ask {
+            let request = Ask {
                 session: Some(format!("s{}", tasks % 5000)),
                 shared: Some(format!("t{}", tasks % 10)),
                 left: Duration::from_secs(6),
@@ -219,12 +226,12 @@
                 most_tokens: 200,
                 ..Ask::default()
             };
-            core.arrive(now, task, &ask, &mut out);
+            core.arrive(now, task, &request, &mut out);
             while let Some(Output::Send { shot, errand, .. }) = out.pop() {
-                let read = errand == tulipstall_core::Errand::Read;
+                let is_read = errand == tulipstall_core::Errand::Read;
                 let (outcome, state) =
-                    if read { (Outcome::Read, Some("s".to_owned())) } else { (Outcome::Delivered, None) };
-                if !read {
+                    if is_read { (Outcome::Read, Some("s".to_owned())) } else { (Outcome::Delivered, None) };
+                if !is_read {
                     core.on(now, Input::Began { task, shot }, &mut out);
                 }
                 core.on(
