--- a/crates/node/tests/acceptance.rs
+++ b/crates/node/tests/acceptance.rs
@@ -1,4 +1,5 @@
-//! The platform's terms for every version, each on sockets with its fault injected (docs/service.md names them).
+//! The platform's acceptance conditions, each tested over sockets with the fault that it names injected (docs/service.md
+//! lists them).
 
 mod platform;
 
@@ -17,39 +18,45 @@
 
 const CLOSE: &str = "Connection: close\r\n";
 
-fn posts(host: &Host, id: &str) -> Vec<Instant> {
+/// Arrival times of the POST requests at this host whose id begins with `id`.
+fn post_times(host: &Host, id: &str) -> Vec<Instant> {
     let calls = host.calls().into_iter();
-    calls.filter(|(call, by, _)| call.starts_with("POST") && by.starts_with(id)).map(|(.., at)| at).collect()
+    calls
+        .filter(|(call, request_id, _)| call.starts_with("POST") && request_id.starts_with(id))
+        .map(|(.., at)| at)
+        .collect()
 }
 
-/// A writer that takes no connection once it is shut: the system drops what asks for one, and asks again a second later.
-fn late_writer(script: &Script) -> Host {
+/// A writer with the shortest accept queue. Once it is paused and the queue is full, the system drops further connection
+/// attempts and repeats them a second later.
+fn writer_with_short_queue(script: &Script) -> Host {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a port");
     Host::start_on(TcpListener::from(socket), "a", "w1", script)
 }
 
-fn fill(host: &Host) -> Vec<std::io::Result<TcpStream>> {
+/// Pauses the host and fills its accept queue; returns the connections that fill it.
+fn fill_accept_queue(host: &Host) -> Vec<std::io::Result<TcpStream>> {
     host.accept_paused.store(true, Ordering::SeqCst);
-    // The one that is accepted, the one that waits, and one that shows that no more do.
+    // One that is accepted, one that waits in the queue, and further ones that find it full.
     (0..4).map(|_| TcpStream::connect_timeout(&host.address, ms(50))).collect()
 }
 
-/// A keyed class whose writer breaks, and takes the next connection so late that the window is over: nothing is sent. Nor
-/// to one whose client leaves meanwhile.
+/// A writer breaks its connection and accepts the next one late. Without a check when that connection opens, an attempt is
+/// sent after the repeat window of its idempotency key is over, or after its client has left.
 #[test]
-fn nothing_begins_late_over_a_connection_that_comes_up_late() {
+fn no_attempt_is_sent_late_on_a_connection_that_opens_late() {
     let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
-    // When the client leaves, and for how long after the first half second the core is taken by others.
-    for (name, window_us, leaves, taken, sends) in [
+    // When the client leaves, how long other work occupies the core after the first half second, and the expected attempts.
+    for (name, window_us, client_leaves, core_busy_ms, attempts) in [
         ("the window is over", 600_000, None, 0, 1),
         ("the window is long", 5_000_000, None, 0, 2),
         ("the client has left", 5_000_000, Some(ms(0)), 0, 1),
         ("the client has left, unseen at a loaded core", 5_000_000, Some(ms(900)), 1100, 1),
     ] {
         let script = Script::default();
-        let (r1, w1) = (Host::start("r1", &Script::default()), late_writer(&script));
+        let (r1, w1) = (Host::start("r1", &Script::default()), writer_with_short_queue(&script));
         let registry = Registry::start(&[&r1, &w1]);
         let keyed = format!("\"Idempotency\":\"token\",\"WindowUs\":{window_us}");
         let config = config(&registry, 256, 1).replace("\"Idempotency\":\"pure\"", &keyed);
@@ -59,45 +66,47 @@
         let mut stream = connect(node.address());
         stream.write_all(request_text("keyed", CLOSE).as_bytes()).expect("a call");
         thread::sleep(ms(100));
-        assert_eq!(posts(&w1, "keyed").len(), 1, "{name}: the first attempt");
-        let queue = fill(&w1);
+        assert_eq!(post_times(&w1, "keyed").len(), 1, "{name}: the first attempt");
+        let pending_connections = fill_accept_queue(&w1);
         thread::sleep(ms(400));
-        drop(queue);
+        drop(pending_connections);
         w1.accept_paused.store(false, Ordering::SeqCst);
         tulipstall_net::spawn(move || {
-            let until = Instant::now() + ms(taken);
+            let until = Instant::now() + ms(core_busy_ms);
             while Instant::now() < until {
                 std::hint::black_box(0);
             }
         });
-        if let Some(leaves) = leaves {
-            thread::sleep(leaves);
+        if let Some(client_leaves) = client_leaves {
+            thread::sleep(client_leaves);
             drop(stream);
             thread::sleep(ms(1500));
         } else {
             let mut answer = String::new();
             let _ = stream.read_to_string(&mut answer);
-            let wanted = if sends == 2 {
+            let wanted = if attempts == 2 {
                 is_complete_stream(&answer, "keyed")
             } else {
                 answer.starts_with("HTTP/1.1 503")
             };
             assert!(wanted, "{name}: {answer}");
         }
-        assert_eq!(posts(&w1, "keyed").len(), sends, "{name}");
+        assert_eq!(post_times(&w1, "keyed").len(), attempts, "{name}");
     }
 }
 
-/// Clients that leave, whatever they have sent and wherever their request waits: no attempt for them begins later.
+/// A client that has left gets no further attempt, wherever its request waits. Without this, hosts compute answers that
+/// nobody reads.
 #[test]
 fn nothing_begins_for_a_client_that_has_left() {
     let p = start_platform(256);
     let address = p.node.address();
-    let many = |id: &str, n: usize| (0..n).map(|i| request_text(&format!("{id}{i}"), "")).collect::<String>();
-    // What is sent at once; what the writers do with the first; how many requests may reach a host at all.
+    let requests =
+        |id: &str, n: usize| (0..n).map(|i| request_text(&format!("{id}{i}"), "")).collect::<String>();
+    // What the client sends at once; the writers' reply to the first request; how many requests may reach a host at all.
     let cases = [
-        ("two behind a long one", many("two", 3), ScriptedReply::PauseMs(700), 1),
-        ("hundreds at once", many("flood", 300), ScriptedReply::PauseMs(700), 1),
+        ("two behind a long one", requests("two", 3), ScriptedReply::PauseMs(700), 1),
+        ("hundreds at once", requests("flood", 300), ScriptedReply::PauseMs(700), 1),
         (
             "junk behind one that breaks",
             request_text("junk0", "") + "no request at all\r\n\r\n",
@@ -111,10 +120,10 @@
             1,
         ),
     ];
-    for (name, text, does, most) in cases {
+    for (name, text, reply, limit) in cases {
         let id: String =
             text.split("X-Txn: ").nth(1).expect("an id").chars().take_while(|c| c.is_alphabetic()).collect();
-        p.w1.script_replies(&[does]);
+        p.w1.script_replies(&[reply]);
         let mut stream = connect(address);
         let _ = stream.write_all(text.as_bytes());
         thread::sleep(ms(150));
@@ -122,30 +131,31 @@
         let left = Instant::now();
         thread::sleep(ms(1500));
         let hosts = [&p.r1, &p.w1, &p.w2];
-        let late = hosts.iter().flat_map(|host| posts(host, &id)).filter(|at| *at > left + ms(100)).count();
+        let late =
+            hosts.iter().flat_map(|host| post_times(host, &id)).filter(|at| *at > left + ms(100)).count();
         assert_eq!(late, 0, "{name}: begun after the client had left");
         let ids: std::collections::BTreeSet<String> = hosts
             .iter()
             .flat_map(|host| host.calls())
-            .filter(|(call, by, _)| call.starts_with("POST") && by.starts_with(&id))
-            .map(|(_, by, _)| by)
+            .filter(|(call, request_id, _)| call.starts_with("POST") && request_id.starts_with(&id))
+            .map(|(_, request_id, _)| request_id)
             .collect();
-        assert!(ids.len() <= most, "{name}: {ids:?}");
+        assert!(ids.len() <= limit, "{name}: {ids:?}");
         p.w1.script.lock().expect("no panic").clear();
     }
 }
 
-/// A core that others want: whoever reads a connection, who answers it and its shot each wait for their turn, while
-/// clients ask and leave at once. Each shot looks for itself.
+/// On a loaded core the coroutines that read a connection, answer it and run its shot each wait to be scheduled, while
+/// clients send a request and leave at once. If the shots do not check for themselves, they begin after the client left.
 #[test]
 fn at_a_loaded_core_nothing_begins_for_clients_that_have_left() {
     let p = start_platform(256);
     let address = p.node.address();
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     for _ in 0..3 {
-        let over = over.clone();
+        let finished = finished.clone();
         tulipstall_net::spawn(move || {
-            while !over.load(Ordering::SeqCst) {
+            while !finished.load(Ordering::SeqCst) {
                 let until = Instant::now() + ms(80);
                 while Instant::now() < until {
                     std::hint::black_box(0);
@@ -170,11 +180,11 @@
         clients.into_iter().map(|client| client.join().expect("no panic")).collect()
     });
     thread::sleep(ms(1500));
-    over.store(true, Ordering::SeqCst);
+    finished.store(true, Ordering::SeqCst);
     let mut longest = Duration::ZERO;
     for (id, left) in &clients {
         for host in [&p.r1, &p.w1, &p.w2] {
-            let after = posts(host, id).iter().map(|at| at.saturating_duration_since(*left)).max();
+            let after = post_times(host, id).iter().map(|at| at.saturating_duration_since(*left)).max();
             longest = longest.max(after.unwrap_or_default());
         }
     }
@@ -182,9 +192,10 @@
     assert!(longest < ms(100), "{longest:?}");
 }
 
-/// However a registry fails a call or two, in either mode: a drain is heard before it counts as told, with the grace.
+/// The registry fails one call or more, in either mode. Without time-outs and retries that fit the drain grace, requests
+/// still go to a draining host after the grace.
 #[test]
-fn a_drain_is_heard_whatever_call_of_the_registry_fails() {
+fn a_drain_takes_effect_in_time_when_registry_calls_fail() {
     let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     use RegistryFault::*;
     let cases: [&[RegistryFault]; 8] = [
@@ -199,51 +210,52 @@
     ];
     thread::scope(|scope| {
         for mode in ["pushed", "on_request"] {
-            for fails in cases {
+            for faults in cases {
                 scope.spawn(move || {
-                    let name = format!("{mode}, {fails:?}");
+                    let name = format!("{mode}, {faults:?}");
                     let script = Script::default();
                     let (r1, w1) = (Host::start("r1", &script), Host::start("w1", &script));
                     let w2 = Host::start("w2", &script);
                     let registry = Registry::start(&[&r1, &w1, &w2]);
                     let config = config(&registry, 1024, 1);
-                    let told = format!("\"settings\":{{\"RegistryMode\":\"{mode}\",\"Rules\":{{\"StopSendingWithinUs\":250000}},");
-                    let node = start_node_with(&config.replace("\"settings\":{", &told));
+                    let settings = format!("\"settings\":{{\"RegistryMode\":\"{mode}\",\"Rules\":{{\"StopSendingWithinUs\":250000}},");
+                    let node = start_node_with(&config.replace("\"settings\":{", &settings));
                     let serve = |id: &str| {
                         let answer = exchange(node.address(), &request_text(id, CLOSE));
                         assert!(is_complete_stream(&answer, id), "{name}: {answer}");
                     };
                     serve("first");
-                    // The watch that is open, and what follows it.
-                    registry.script.lock().expect("no panic").extend(fails);
+                    // The faults hit the open watch and the calls that follow it.
+                    registry.script.lock().expect("no panic").extend(faults);
                     thread::sleep(ms(600));
                     registry.publish(registry_line(&w1, "leaving"));
-                    let had = Instant::now();
+                    let published = Instant::now();
                     for i in 0.. {
                         serve(&format!("then{i}"));
                         thread::sleep(ms(10));
-                        if had.elapsed() > ms(7500) {
+                        if published.elapsed() > ms(7500) {
                             break;
                         }
                     }
-                    let last = posts(&w1, "then").into_iter().max().map_or(Duration::ZERO, |at| at - had);
-                    // Pushed: two calls that fail each in their time, and the grace.
-                    let most = if mode == "pushed" { ms(3300) } else { ms(6250) };
-                    assert!(last < most, "{name}: {last:?} after the registry had it");
-                    assert!(!posts(&w2, "then").is_empty(), "{name}");
+                    let last_post = post_times(&w1, "then").into_iter().max().map_or(Duration::ZERO, |at| at - published);
+                    // Pushed: the time-outs of two failing calls, and the grace.
+                    let limit = if mode == "pushed" { ms(3300) } else { ms(6250) };
+                    assert!(last_post < limit, "{name}: {last_post:?} after the registry published the drain");
+                    assert!(!post_times(&w2, "then").is_empty(), "{name}");
                 });
             }
         }
     });
 }
 
-/// An answer that is older than one before opens no host again that was told to drain since.
+/// A registry answer older than an earlier one must not undo a later drain. Without this, requests go to the draining host
+/// again.
 #[test]
-fn an_older_list_opens_no_host_again() {
+fn an_older_list_does_not_undo_a_drain() {
     let p = start_platform(256);
     p.registry.publish(registry_line(&p.w1, "leaving"));
     thread::sleep(ms(200));
-    let told = Instant::now();
+    let drain_applied = Instant::now();
     p.registry.script.lock().expect("no panic").extend([
         RegistryFault::Disconnect,
         RegistryFault::FirstList,
@@ -254,18 +266,18 @@
         assert!(is_complete_stream(&exchange(p.node.address(), &request_text(&id, CLOSE)), &id));
         thread::sleep(ms(10));
     }
-    assert!(p.registry.script.lock().expect("no panic").is_empty(), "the older lists were told");
-    assert!(p.w1.calls().iter().all(|(.., at)| *at < told), "{:?}", p.w1.calls());
+    assert!(p.registry.script.lock().expect("no panic").is_empty(), "not every scripted fault was used");
+    assert!(p.w1.calls().iter().all(|(.., at)| *at < drain_applied), "{:?}", p.w1.calls());
 }
 
-/// Requests that arrive in the very moment in which a stop ends resting connections: each is answered whole or with a
-/// bounce, or reaches no host.
+/// Requests that arrive just as a stop closes idle connections. Each has a complete answer or a rejection, or reaches no
+/// host. Without this, a host computes an answer whose connection is already closed.
 #[test]
-fn requests_that_cross_the_end_of_their_connection_are_answered_or_never_taken() {
+fn requests_that_arrive_as_their_connection_closes_are_answered_or_reach_no_host() {
     for round in 0..3 {
         let p = start_platform(512);
         let address = p.node.address();
-        let resting: Vec<TcpStream> = (0..60)
+        let idle_connections: Vec<TcpStream> = (0..60)
             .map(|_| {
                 let mut stream = connect(address);
                 stream.write_all(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").expect("a look");
@@ -276,10 +288,10 @@
             .collect();
         let from = Instant::now();
         let answers: Vec<(String, String)> = thread::scope(|scope| {
-            let asks = resting.into_iter().enumerate().map(|(i, mut stream)| {
+            let clients = idle_connections.into_iter().enumerate().map(|(i, mut stream)| {
                 let id = format!("cross{round}x{i:03}");
                 scope.spawn(move || {
-                    // Around the moment in which idle connections are closed, 450 ms after the stop begins.
+                    // Around the closing of idle connections, 450 ms after the stop begins.
                     thread::sleep(
                         (ms(440) + Duration::from_micros(i as u64 * 400)).saturating_sub(from.elapsed()),
                     );
@@ -289,30 +301,34 @@
                     (id, String::from_utf8_lossy(&answer).into_owned())
                 })
             });
-            let asks: Vec<_> = asks.collect();
+            let clients: Vec<_> = clients.collect();
             p.node.stop();
-            asks.into_iter().map(|ask| ask.join().expect("no panic")).collect()
+            clients.into_iter().map(|client| client.join().expect("no panic")).collect()
         });
         for (id, answer) in &answers {
-            let sent = [&p.r1, &p.w1, &p.w2].into_iter().any(|host| !posts(host, id).is_empty());
+            let sent = [&p.r1, &p.w1, &p.w2].into_iter().any(|host| !post_times(host, id).is_empty());
             let answered = is_complete_stream(answer, id) || answer.starts_with("HTTP/1.1 503");
             assert!(answered || (answer.is_empty() && !sent), "{id}: sent {sent}, {answer:?}");
         }
         let answered = answers.iter().filter(|(id, answer)| is_complete_stream(answer, id)).count();
-        assert!((1..60).contains(&answered), "the stop came between them: {answered}");
+        assert!(
+            (1..60).contains(&answered),
+            "the stop should come between the requests; answered: {answered}"
+        );
     }
 }
 
-/// An answer that ends a connection arrives whole, though its client has sent more that nobody reads.
+/// The last answer of a connection arrives complete although its client has sent more bytes that are never read. Without
+/// this, closing the socket with unread bytes resets the connection and the client loses the end of the answer.
 #[test]
 fn an_answer_is_not_cut_off_by_what_its_client_sent_beyond() {
     let p = start_platform(256);
     for i in 0..10 {
-        // A new id each time: one that was taken is nobody's any more.
+        // A new id each time, because a used id is rejected.
         let text = request_text(&format!("last{i}"), CLOSE) + &"x".repeat(20_000);
         p.w1.script_replies(&[ScriptedReply::ManyEvents(2500)]);
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        // What does not fit here waits at the dispatcher's socket.
+        // A small receive buffer: the rest of the answer waits in the dispatcher's socket.
         let _ = socket.set_recv_buffer_size(4096);
         socket.connect(&p.node.address().into()).expect("a connection");
         let mut stream = TcpStream::from(socket);
@@ -320,52 +336,54 @@
         // A client that is slow to read.
         thread::sleep(ms(60));
         let mut answer = Vec::new();
-        let end = stream.read_to_end(&mut answer);
+        let result = stream.read_to_end(&mut answer);
         let answer = String::from_utf8_lossy(&answer);
-        assert!(end.is_ok() && answer.ends_with("0\r\n\r\n"), "{end:?}: {} bytes", answer.len());
+        assert!(result.is_ok() && answer.ends_with("0\r\n\r\n"), "{result:?}: {} bytes", answer.len());
     }
 }
 
-/// Answers of readers and writers that are cut at every byte: each request has one answer at once, whole, none, or one
-/// that is seen to be cut; never one that seems whole.
+/// Answers of readers and writers end after every possible number of bytes. Each request is answered promptly: completely,
+/// by a rejection, or by a stream without its last chunk. Without this, a client takes a truncated answer for a complete
+/// one.
 #[test]
-fn answers_cut_at_every_byte_never_seem_whole() {
+fn answers_truncated_at_any_byte_never_look_complete() {
     let p = start_platform(256);
     let address = p.node.address();
-    // A reader's answer and a writer's, with room for both to be longer than thought.
+    // Upper bounds of the length of a reader's answer and of a writer's.
     for (host, longest) in [(&p.r1, 80), (&p.w1, 420)] {
-        let (mut whole_ones, mut cut) = (0, 0);
-        for bytes in 0..longest {
-            host.script_replies(&[ScriptedReply::TruncateAt(bytes)]);
-            let id = format!("cut{}x{bytes:03}", host.name);
+        let (mut complete, mut truncated) = (0, 0);
+        for length in 0..longest {
+            host.script_replies(&[ScriptedReply::TruncateAt(length)]);
+            let id = format!("cut{}x{length:03}", host.name);
             let from = Instant::now();
             let answer = exchange(address, &request_text(&id, CLOSE));
             assert!(from.elapsed() < ms(1500), "{id}: {:?}", from.elapsed());
-            let seen = answer.starts_with("HTTP/1.1 200") && !answer.ends_with("0\r\n\r\n");
+            let visibly_truncated = answer.starts_with("HTTP/1.1 200") && !answer.ends_with("0\r\n\r\n");
             assert!(
-                is_complete_stream(&answer, &id) || seen || answer.starts_with("HTTP/1.1 503"),
+                is_complete_stream(&answer, &id) || visibly_truncated || answer.starts_with("HTTP/1.1 503"),
                 "{id}: {answer}"
             );
-            // Answers earn what a further attempt costs: without, each cut one would be waited for.
+            // Complete answers earn retry budget. Without it there is no retry, and each truncated answer would be waited for.
             for i in 0..5 {
-                let id = format!("good{}x{bytes:03}x{i}", host.name);
+                let id = format!("good{}x{length:03}x{i}", host.name);
                 assert!(is_complete_stream(&exchange(address, &request_text(&id, CLOSE)), &id), "{id}");
             }
-            whole_ones += usize::from(is_complete_stream(&answer, &id));
-            cut += usize::from(seen);
+            complete += usize::from(is_complete_stream(&answer, &id));
+            truncated += usize::from(visibly_truncated);
             host.script.lock().expect("no panic").clear();
         }
         assert!(
-            whole_ones > 0 && (host.name == "r1") == (cut == 0),
-            "{}: {whole_ones} whole, {cut} cut",
+            complete > 0 && (host.name == "r1") == (truncated == 0),
+            "{}: {complete} complete, {truncated} truncated",
             host.name
         );
     }
 }
 
-/// Ready though the registry says nothing, its list is long and old, and clients already press.
+/// The dispatcher becomes ready although the registry does not answer, the configured list of hosts is long and old, and
+/// clients connect from the start.
 #[test]
-fn ready_with_a_silent_registry_a_long_list_and_clients_that_press() {
+fn ready_with_a_silent_registry_a_long_list_and_early_clients() {
     let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     let script = Script::default();
     let (r1, w1) = (Host::start("r1", &script), Host::start("w1", &script));
@@ -382,22 +400,22 @@
         .collect();
     let known =
         format!("\"known\":{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}},\"settings\":", hosts.join(","));
-    // The address is needed before the start: clients do not wait.
+    // The address is chosen before the start, because the clients connect at once.
     let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
     let config = config(&registry, 256, 350).replace("\"settings\":", &known);
     let config = config.replacen("127.0.0.1:0", &address.to_string(), 1);
-    let over = Arc::new(AtomicBool::new(false));
+    let finished = Arc::new(AtomicBool::new(false));
     thread::scope(|scope| {
         for i in 0..60 {
-            let over = over.clone();
+            let finished = finished.clone();
             scope.spawn(move || {
-                for k in 0.. {
-                    if over.load(Ordering::SeqCst) {
+                for attempt in 0.. {
+                    if finished.load(Ordering::SeqCst) {
                         break;
                     }
                     if let Ok(mut stream) = TcpStream::connect(address) {
                         let _ = stream.set_read_timeout(Some(ms(300)));
-                        let text = request_text(&format!("press{i}x{k}"), CLOSE);
+                        let text = request_text(&format!("press{i}x{attempt}"), CLOSE);
                         let _ = stream.write_all(if i % 3 == 0 {
                             &text.as_bytes()[..50]
                         } else {
@@ -412,7 +430,7 @@
         let from = Instant::now();
         let node = start_node_with(&config);
         let took = from.elapsed();
-        over.store(true, Ordering::SeqCst);
+        finished.store(true, Ordering::SeqCst);
         println!("ready after {took:?}");
         assert!(took < ms(5000), "{took:?}");
         drop(node);
