--- a/crates/node/tests/acceptance.rs
+++ b/crates/node/tests/acceptance.rs
@@ -50,10 +50,10 @@
     let _exclusive = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
     // When the client leaves, how long other work occupies the core after the first half second, and the expected attempts.
     for (name, window_us, client_leaves, core_busy_ms, attempts) in [
-        ("the window is over", 600_000, None, 0, 1),
-        ("the window is long", 5_000_000, None, 0, 2),
-        ("the client has left", 5_000_000, Some(ms(0)), 0, 1),
-        ("the client has left, unseen at a loaded core", 5_000_000, Some(ms(900)), 1100, 1),
+        ("repeat window over", 600_000, None, 0, 1),
+        ("repeat window still open", 5_000_000, None, 0, 2),
+        ("client has left", 5_000_000, Some(ms(0)), 0, 1),
+        ("client has left, not yet noticed on a busy core", 5_000_000, Some(ms(900)), 1100, 1),
     ] {
         let script = Script::default();
         let (r1, w1) = (Host::start("r1", &Script::default()), writer_with_short_queue(&script));
@@ -84,12 +84,12 @@
         } else {
             let mut answer = String::new();
             let _ = stream.read_to_string(&mut answer);
-            let wanted = if attempts == 2 {
+            let as_expected = if attempts == 2 {
                 is_complete_stream(&answer, "keyed")
             } else {
                 answer.starts_with("HTTP/1.1 503")
             };
-            assert!(wanted, "{name}: {answer}");
+            assert!(as_expected, "{name}: {answer}");
         }
         assert_eq!(post_times(&w1, "keyed").len(), attempts, "{name}");
     }
@@ -105,16 +105,16 @@
         |id: &str, n: usize| (0..n).map(|i| request_text(&format!("{id}{i}"), "")).collect::<String>();
     // What the client sends at once; the writers' reply to the first request; how many requests may reach a host at all.
     let cases = [
-        ("two behind a long one", requests("two", 3), ScriptedReply::PauseMs(700), 1),
-        ("hundreds at once", requests("flood", 300), ScriptedReply::PauseMs(700), 1),
+        ("two requests behind a long one", requests("two", 3), ScriptedReply::PauseMs(700), 1),
+        ("300 requests at once", requests("flood", 300), ScriptedReply::PauseMs(700), 1),
         (
-            "junk behind one that breaks",
+            "malformed bytes behind a request whose host disconnects",
             request_text("junk0", "") + "no request at all\r\n\r\n",
             ScriptedReply::DisconnectAfterMs(500),
             1,
         ),
         (
-            "half a one behind one that breaks",
+            "partial request behind a request whose host disconnects",
             request_text("half0", "") + "POST /v1",
             ScriptedReply::DisconnectAfterMs(500),
             1,
@@ -133,7 +133,7 @@
         let hosts = [&p.r1, &p.w1, &p.w2];
         let late =
             hosts.iter().flat_map(|host| post_times(host, &id)).filter(|at| *at > left + ms(100)).count();
-        assert_eq!(late, 0, "{name}: begun after the client had left");
+        assert_eq!(late, 0, "{name}: attempts sent after the client had left");
         let ids: std::collections::BTreeSet<String> = hosts
             .iter()
             .flat_map(|host| host.calls())
@@ -188,7 +188,7 @@
             longest = longest.max(after.unwrap_or_default());
         }
     }
-    println!("an attempt began {longest:?} after its client had left at the latest");
+    println!("the latest attempt began {longest:?} after its client had left");
     assert!(longest < ms(100), "{longest:?}");
 }
 
@@ -280,7 +280,7 @@
         let idle_connections: Vec<TcpStream> = (0..60)
             .map(|_| {
                 let mut stream = connect(address);
-                stream.write_all(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").expect("a look");
+                stream.write_all(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").expect("a health request");
                 let mut buffer = [0; 512];
                 assert!(stream.read(&mut buffer).expect("an answer") > 0);
                 stream
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -53,14 +53,21 @@
     // When the connection opens, the first bytes are sent and the rest is sent, in ms after the stop (negative: before it);
     // the number of bytes sent first; whether the request is served.
     let cases: [(&str, i64, i64, i64, usize, bool); 8] = [
-        ("half before, half after the listener closed", -100, -50, 700, 60, false),
-        ("half before, half while all is taken", -100, -50, 250, 60, true),
-        ("a byte before, the rest much later", -100, -50, 1800, 1, false),
-        ("all but a byte of the body", -100, 300, 900, usize::MAX, false),
-        ("a new connection that asks while all is taken", 100, 120, 130, 60, true),
-        ("a new connection that asks right after the listener closed", 420, 500, 510, 60, false),
-        ("a new connection that begins right before and ends later", 420, 440, 1200, 60, false),
-        ("whole in the last moment", 300, 400, 405, 60, true),
+        ("half before the stop, half after the listener closed", -100, -50, 700, 60, false),
+        ("half before the stop, half while requests are accepted", -100, -50, 250, 60, true),
+        ("one byte before the stop, the rest much later", -100, -50, 1800, 1, false),
+        ("all but the last byte while requests are accepted", -100, 300, 900, usize::MAX, false),
+        ("a new connection and request while requests are accepted", 100, 120, 130, 60, true),
+        ("a new connection that sends right after the listener closed", 420, 500, 510, 60, false),
+        (
+            "a new connection that starts its request right before and ends it later",
+            420,
+            440,
+            1200,
+            60,
+            false,
+        ),
+        ("complete at the last moment", 300, 400, 405, 60, true),
     ];
     let from = Instant::now() + ms(300);
     let at = |after: i64| if after < 0 { from - ms(-after as u64) } else { from + ms(after as u64) };
@@ -178,7 +185,7 @@
         let mut stream = connect(p.node.address());
         stream.write_all(request_text("goes", "").as_bytes()).expect("a call");
         let mut head = [0; 16];
-        stream.read_exact(&mut head).expect("it begins");
+        stream.read_exact(&mut head).expect("the head of the answer");
         let from = Instant::now();
         thread::sleep(ms(publish_after_ms));
         let host = if p.w1.calls().is_empty() { &p.w2 } else { &p.w1 };
@@ -294,7 +301,7 @@
     let latest_us = all_results.iter().map(|(_, _, _, latest_us, _)| *latest_us).max().unwrap_or(u64::MAX);
     let merged_events: usize = all_results.iter().map(|(.., merged_events)| merged_events).sum();
     println!(
-        "the latest of {} events came {latest_us} us after it was written; {merged_events} came with one before",
+        "the latest of {} events arrived {latest_us} us after it was written; {merged_events} arrived with an earlier one",
         40 * streams
     );
     // Which client gets which stream depends on the hosts, so only the totals are checked.
--- a/crates/node/tests/service.rs
+++ b/crates/node/tests/service.rs
@@ -21,28 +21,33 @@
     let noise = "\x01\x02noise noise noise noise";
     let second = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno";
     let cases: [(&str, bool, ScriptedReply, bool); 13] = [
-        ("noise", false, ScriptedReply::Raw(noise), true),
+        ("bytes that are no answer", false, ScriptedReply::Raw(noise), true),
         ("endless head", false, ScriptedReply::Raw(ENDLESS_HEAD), true),
         ("bad head", false, ScriptedReply::Raw("HTTP/1.1 2x0 OK\r\n\r\n"), true),
         (
-            "no size",
+            "malformed chunk size",
             false,
             ScriptedReply::Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\ndata: a\n\n"),
             true,
         ),
         (
-            "3 GB ahead",
+            "3 GB chunk before the first event",
             false,
             ScriptedReply::Raw(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nc0000000\r\ndata: a\n\n",
             ),
             true,
         ),
-        ("no event", false, ScriptedReply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"), true),
-        ("writer breaks", false, ScriptedReply::Disconnect, true),
-        ("reader breaks", true, ScriptedReply::Disconnect, true),
         (
-            "1xx",
+            "body without an event",
+            false,
+            ScriptedReply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabcd"),
+            true,
+        ),
+        ("writer disconnects", false, ScriptedReply::Disconnect, true),
+        ("reader disconnects", true, ScriptedReply::Disconnect, true),
+        (
+            "informational responses first",
             false,
             ScriptedReply::Prefixed(
                 "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n",
@@ -50,14 +55,24 @@
             true,
         ),
         ("second answer", false, ScriptedReply::Suffixed(second), true),
-        ("bad size later", false, ScriptedReply::RawAfterFirstEvent("xyz\r\ndata: a\n\n\r\n"), false),
         (
-            "3 GB later",
+            "malformed chunk size later",
+            false,
+            ScriptedReply::RawAfterFirstEvent("xyz\r\ndata: a\n\n\r\n"),
+            false,
+        ),
+        (
+            "3 GB chunk later",
             false,
             ScriptedReply::RawAfterFirstEvent("c0000000\r\ndata: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"),
             false,
         ),
-        ("wrong size later", false, ScriptedReply::RawAfterFirstEvent("4\r\ndata: aaaa\n\n\r\n"), false),
+        (
+            "wrong chunk size later",
+            false,
+            ScriptedReply::RawAfterFirstEvent("4\r\ndata: aaaa\n\n\r\n"),
+            false,
+        ),
     ];
     for (i, (name, at_reader, reply, delivered)) in cases.into_iter().enumerate() {
         if at_reader {
@@ -113,16 +128,19 @@
         ("no id", good.replace("X-Txn: a0\r\n", "")),
         ("empty id", good.replace("X-Txn: a0", "X-Txn: ")),
         ("two ids", good.replace("X-Txn: a0", "X-Txn: a0\r\nX-Txn: b0")),
-        ("an id that is a path", good.replace("X-Txn: a0", "X-Txn: ../a0")),
-        ("no such class", good.replace("X-Lane: chat", "X-Lane: other")),
+        ("an id with path separators", good.replace("X-Txn: a0", "X-Txn: ../a0")),
+        ("unknown class", good.replace("X-Lane: chat", "X-Lane: other")),
         ("no class", good.replace("X-Lane: chat\r\n", "")),
-        ("time is no number", good.replace("2500", "soon")),
-        ("time is negative", good.replace("2500", "-2500")),
-        ("a length is negative", good.replace("prompt_len=20", "prompt_len=-20")),
+        ("remaining time is no number", good.replace("2500", "soon")),
+        ("remaining time is negative", good.replace("2500", "-2500")),
+        ("prompt length is negative", good.replace("prompt_len=20", "prompt_len=-20")),
         ("body is no JSON", good.replace("{\"model\"", "[\"model\"")),
-        ("negative length", good.replace("Content-Length: 7", "Content-Length: -7")),
-        ("huge length", good.replace("Content-Length: 7", "Content-Length: 99999999999999999999997")),
-        ("two lengths", good.replace("Content-Length", "Content-Length: 3\r\nContent-Length")),
+        ("negative content length", good.replace("Content-Length: 7", "Content-Length: -7")),
+        (
+            "content length out of range",
+            good.replace("Content-Length: 7", "Content-Length: 99999999999999999999997"),
+        ),
+        ("two content lengths", good.replace("Content-Length", "Content-Length: 3\r\nContent-Length")),
         (
             "a request inside a body",
             good.replace("Content-Length", "Transfer-Encoding: chunked\r\nContent-Length")
@@ -132,9 +150,9 @@
             "a body that is too large",
             good.replace(&format!("Length: {}", BODY.len()), "Length: 300000") + &big,
         ),
-        ("a head without end", format!("POST / HTTP/1.1\r\nHost: x\r\nx: {big}")),
+        ("an endless head", format!("POST / HTTP/1.1\r\nHost: x\r\nx: {big}")),
         ("half a request", good[..good.len() - 10].to_owned()),
-        ("nothing", String::new()),
+        ("an empty request", String::new()),
     ];
     thread::scope(|scope| {
         for (name, text) in &cases {
@@ -273,7 +291,7 @@
         ));
     }
     w3.script_replies(&[ScriptedReply::PauseMs(1500)]);
-    let taken = thread::spawn(move || exchange(address, &request_text("taken", "")));
+    let accepted = thread::spawn(move || exchange(address, &request_text("taken", "")));
     let mut idle = connect(address);
     thread::sleep(Duration::from_millis(300));
     thread::scope(|scope| {
@@ -285,7 +303,7 @@
         thread::sleep(Duration::from_millis(200));
         assert!(is_complete_stream(&exchange(address, &request_text("late", "")), "late"));
         assert_eq!(idle.read(&mut [0; 16]).unwrap_or(0), 0, "an idle connection is closed");
-        assert!(is_complete_stream(&taken.join().expect("no panic"), "taken"));
+        assert!(is_complete_stream(&accepted.join().expect("no panic"), "taken"));
         let took = stopping.join().expect("no panic");
         assert!(took < Duration::from_secs(4), "{took:?}");
     });
