--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the messages API that notes all that it gets, to the letter.
+//! A client of the messages API that records the full response and checks its form.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 
 const HTTP_LIMITS: Limits = Limits { head: 16_384, line: 8192, headers: 64, body: 64 << 20 };
 
-/// One try of a request.
+/// A request to the messages API.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub model: String,
@@ -19,7 +19,7 @@
     pub user: String,
     pub most_tokens: u32,
     pub stream: bool,
-    /// Headers beside the usual ones.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
 }
 
@@ -35,11 +35,13 @@
         }
     }
 
+    /// Adds a header.
     pub fn with(mut self, name: &str, value: impl ToString) -> Self {
         self.headers.push((name.to_owned(), value.to_string()));
         self
     }
 
+    /// The JSON body.
     pub fn body(&self) -> String {
         let mut body = json!({
             "model": self.model, "max_tokens": self.most_tokens, "stream": self.stream,
@@ -52,6 +54,7 @@
         body.to_string()
     }
 
+    /// The HTTP request with its head.
     fn bytes(&self, address: SocketAddr) -> Vec<u8> {
         let body = self.body();
         let mut head = format!(
@@ -66,6 +69,7 @@
     }
 }
 
+/// What a client received for one request.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub answer: Answer,
@@ -74,25 +78,25 @@
     pub request_id: String,
     pub should_retry: Option<bool>,
     pub retry_after: Option<Duration>,
-    /// Input tokens, kept tokens, output tokens.
+    /// Input tokens that were not cached, cached input tokens, output tokens.
     pub usage: [u64; 3],
     pub stop_reason: String,
     pub first_token: Option<Duration>,
-    /// The longest time between two pieces of the text.
+    /// The longest time between two deltas of the text.
     pub longest_gap: Duration,
     pub took: Duration,
-    /// Bytes that came after the final answer.
+    /// Bytes received after the final answer.
     pub trailing_bytes: usize,
 }
 
-/// How a client behaves.
+/// The behaviour of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientOptions {
-    /// Without a first token by then it is late.
+    /// Without a first token (or a response head) in this time, the answer counts as late.
     pub first_token_timeout: Duration,
-    /// It leaves after this, whatever has come.
+    /// The client disconnects after this time.
     pub leave_after: Option<Duration>,
-    /// It reads only so often.
+    /// The pause before each read, for a slow client.
     pub read_pause: Option<Duration>,
 }
 
@@ -102,10 +106,10 @@
     }
 }
 
-/// A begun stream may go on for so long.
+/// The time limit for a whole plain body, and for each read of a streamed one.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Clients that do so many tasks between them, each the next one that nobody has.
+/// A number of clients that share a list of tasks. Each takes the next one that is not started.
 pub struct ClientPool<T> {
     tasks: usize,
     next: Arc<AtomicUsize>,
@@ -123,17 +127,18 @@
         ClientPool { tasks, clients: (0..clients).map(client).collect(), next }
     }
 
-    /// There are tasks that nobody has begun.
+    /// Whether there are tasks that no client has started.
     pub fn has_unstarted_tasks(&self) -> bool {
         self.next.load(Ordering::SeqCst) < self.tasks
     }
 
-    /// What came of all tasks, once they are done.
+    /// Waits for all tasks and returns their results, grouped by client.
     pub fn join(self) -> Vec<T> {
         self.clients.into_iter().flat_map(|client| client.join().expect("a client")).collect()
     }
 }
 
+/// Sends a request on a new connection and reads the response.
 pub fn send_request(address: SocketAddr, request: &Request, options: ClientOptions) -> Response {
     let began = Instant::now();
     let mut response = Response {
@@ -154,9 +159,9 @@
         response.answer = match link.write(&request.bytes(address), began + options.first_token_timeout) {
             Ok(()) => {
                 let mut reply = Reply::new(link, HTTP_LIMITS);
-                let answer = read(&mut reply, request, options, began, &mut response);
+                let answer = read_response(&mut reply, request, options, began, &mut response);
                 if answer != Answer::Left && answer != Answer::Late && answer != Answer::Cut {
-                    // A byte after the final answer would be a second one.
+                    // Any byte after the final answer would belong to a second answer.
                     let mut extra = [0; 64];
                     let until = Instant::now() + Duration::from_millis(2);
                     response.trailing_bytes = reply.link.read(&mut extra, until).unwrap_or(0);
@@ -171,20 +176,22 @@
     response
 }
 
+/// How a failed read counts.
 fn answer_for_fault(fault: Fault, options: ClientOptions, began: Instant) -> Answer {
-    // Reads end a little before their time rather than after it.
-    let leave_after = options
+    // Reads may end slightly before their deadline.
+    let has_left = options
         .leave_after
         .is_some_and(|leave_after| began.elapsed() + Duration::from_millis(2) >= leave_after);
     match fault {
-        Fault::TimedOut if leave_after => Answer::Left,
+        Fault::TimedOut if has_left => Answer::Left,
         Fault::TimedOut => Answer::Late,
         Fault::Rubbish => Answer::Wrong("no HTTP".to_owned()),
         Fault::Broken | Fault::NoConnection | Fault::OwnMachine => Answer::Cut,
     }
 }
 
-fn read(
+/// Reads a response into `response` and returns how it ended.
+fn read_response(
     reply: &mut Reply,
     request: &Request,
     options: ClientOptions,
@@ -203,7 +210,7 @@
         head.text("retry-after-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
     let is_stream = head.text("content-type").is_some_and(|kind| kind.starts_with("text/event-stream"));
     if head.status == 200 && is_stream && request.stream {
-        return stream(reply, options, until, began, response);
+        return read_stream(reply, options, until, began, response);
     }
     let body = match reply.whole_body(until(began + STREAM_TIMEOUT)) {
         Ok(body) => body,
@@ -232,8 +239,8 @@
     [of("input_tokens"), of("cache_read_input_tokens"), of("output_tokens")]
 }
 
-/// Reads a stream and holds its events to their published order.
-fn stream(
+/// Reads a stream and checks that its events come in the published order.
+fn read_stream(
     reply: &mut Reply,
     options: ClientOptions,
     until: impl Fn(Instant) -> Instant,
@@ -294,7 +301,7 @@
     }
 }
 
-/// Where a stream stands in the published order of events.
+/// The position of a stream in the published order of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StreamPhase {
     Start,
@@ -307,6 +314,7 @@
 }
 
 impl StreamPhase {
+    /// The phase after an event; none if the event is not allowed here.
     fn next(self, event: &str) -> Option<StreamPhase> {
         Some(match (self, event) {
             (StreamPhase::Start, "message_start") => StreamPhase::Message,
@@ -317,7 +325,7 @@
             (StreamPhase::Delta, "message_stop") => StreamPhase::Stopped,
             (StreamPhase::Start | StreamPhase::Stopped | StreamPhase::Failed, _) => return None,
             (_, "error") => StreamPhase::Failed,
-            (here, "ping") => here,
+            (phase, "ping") => phase,
             _ => return None,
         })
     }
--- a/crates/rig/src/demo.rs
+++ b/crates/rig/src/demo.rs
@@ -1,4 +1,4 @@
-//! The README's one command: stand-ins, a dispatcher, one streamed Thai question.
+//! The demonstration in the README: stand-in hosts, a dispatcher, one streamed question in Thai.
 
 use crate::client::{self, ClientOptions, Request};
 use crate::fleet::{self, Fleet};
@@ -8,7 +8,7 @@
 use tulipstall_net::spawn;
 use tulipstall_standin::text;
 
-/// Runs the demonstration and writes what happens; an error if it does not end as it should.
+/// Runs the demonstration and writes what happens. Fails if the answer is not the expected one.
 pub fn run(out: &mut impl Write) -> io::Result<()> {
     let fleet = Fleet::start(&fleet::small())?;
     let dispatcher = Dispatcher::start(fleet::settings("demo"), None)?;
@@ -23,8 +23,8 @@
     let address = dispatcher.address();
     let response = {
         let request = request.clone();
-        let asked = spawn(move || client::send_request(address, &request, ClientOptions::default()));
-        asked.join().map_err(|_| io::Error::other("the client failed"))?
+        let client = spawn(move || client::send_request(address, &request, ClientOptions::default()));
+        client.join().map_err(|_| io::Error::other("the client failed"))?
     };
     for event in &response.events {
         writeln!(out, "event: {}\n  {}", event.name, event.data)?;
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Stand-ins started together, and what a dispatcher is told of them.
+//! Groups of stand-in hosts, and the settings and host lists of dispatchers for them.
 
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -6,18 +6,20 @@
 use tulipstall_settings::{HostLine, HostList, HostStanding};
 use tulipstall_standin::{EventLog, Host, Role, Spec};
 
+/// The file format of a fleet.
 #[derive(Clone, Debug, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSpec {
     pub hosts: Vec<Spec>,
 }
 
+/// Running stand-in hosts that share one event log.
 pub struct Fleet {
     pub hosts: Vec<Arc<Host>>,
     pub log: Arc<EventLog>,
 }
 
-/// The kind's name that the built-in settings have for a role.
+/// The name of the kind that the built-in settings have for a role.
 pub fn kind(role: Role) -> &'static str {
     match role {
         Role::Read => "prefill",
@@ -34,6 +36,7 @@
         Ok(Fleet { hosts, log })
     }
 
+    /// The line of a host in a host list.
     pub fn line(host: &Host, standing: HostStanding, started_unix_ms: Option<u64>) -> HostLine {
         HostLine {
             host: host.address,
@@ -46,14 +49,14 @@
         }
     }
 
-    /// All of them, running.
+    /// A host list with all hosts as running.
     pub fn list(&self) -> HostList {
         let line = |host: &Arc<Host>| Self::line(host, HostStanding::Running, None);
         HostList { version: 1, whole: true, hosts: self.hosts.iter().map(line).collect() }
     }
 }
 
-/// Settings for trying things out: one offering of each effect, the kinds of the stand-ins, free ports.
+/// Dispatcher settings for tests: one offering of each effect, the kinds of the stand-in hosts, free ports.
 pub fn settings(name: &str) -> tulipstall_settings::Settings {
     let text = serde_json::json!({
         "name": name, "listen": "127.0.0.1:0", "control": "127.0.0.1:0", "seed": 1,
@@ -76,7 +79,7 @@
         ],
     });
     tulipstall_settings::check(&text.to_string()).unwrap_or_else(|faults| {
-        // Built in: a fault here is one of the program.
+        // The settings are built in, so a fault here is a bug.
         panic!(
             "the built-in settings: {}",
             faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
@@ -84,7 +87,7 @@
     })
 }
 
-/// A small fleet: two readers and two writers in two zones, and a mixed host.
+/// A small fleet: two readers and two writers in two zones.
 pub fn small() -> Vec<Spec> {
     let host =
         |role: Role, zone: &str, cell: u32| Spec { role, zone: zone.to_owned(), cell, ..Spec::default() };
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,4 +1,4 @@
-//! What stands around a dispatcher to try it: clients, stand-in fleets, load, scripted days.
+//! Test infrastructure around a dispatcher: clients, groups of stand-in hosts, load, scripted runs.
 
 pub mod client;
 pub mod day;
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load: each request is due at its time whatever became of those before, and its latency counts from
-//! when it was due.
+//! An open-loop load generator: each request has a scheduled time that does not depend on earlier responses, and its
+//! latency counts from that time.
 
 use crate::client::{self, ClientOptions, Request};
 use hdrhistogram::Histogram;
@@ -13,49 +13,55 @@
 use tulipstall_judge::Answer;
 use tulipstall_net::{Link, Pool, Reply, spawn};
 
-/// Whom the load is put on.
+/// The receiver of the load.
 #[derive(Clone)]
 pub enum Target {
     /// A dispatcher, by the messages API.
     Dispatcher(SocketAddr),
-    /// A host that reads and writes, by the engines' protocol, past any dispatcher.
+    /// A mixed host, by the engines' protocol, without a dispatcher.
     Host(SocketAddr),
 }
 
+/// What load to generate.
 #[derive(Clone)]
 pub struct Load {
     pub target: Target,
     pub model: String,
     pub per_second: f64,
     pub seconds: f64,
-    /// Tokens of each answer, and bytes of each prompt.
+    /// Tokens of each answer.
     pub tokens: u32,
+    /// Bytes of each prompt.
     pub prompt_bytes: usize,
     pub stream: bool,
-    /// A header with a key, where the dispatcher wants one.
+    /// The API key, for a dispatcher that requires one.
     pub key: Option<String>,
-    /// The host's connections, kept as a dispatcher keeps its own.
+    /// The connection pool for a host, as a dispatcher has one.
     pub pool: Option<Arc<Pool>>,
 }
 
+/// The results of a load.
 pub struct Report {
     pub sent: u64,
+    /// The number of answers by kind.
     pub answers: BTreeMap<String, u64>,
-    /// Microseconds from when a request was due to its first token, and to its end.
+    /// Microseconds from the scheduled time of a request to its first token.
     pub first: Histogram<u64>,
+    /// Microseconds from the scheduled time of a request to its end.
     pub whole: Histogram<u64>,
-    /// How late requests were sent: the generator's own fault.
+    /// How late requests were sent, in microseconds. This delay is the generator's own.
     pub lag: Histogram<u64>,
     pub tokens: u64,
     pub took: Duration,
 }
 
 fn histogram() -> io::Result<Histogram<u64>> {
-    // From a microsecond to ten minutes, to three digits.
+    // From one microsecond to ten minutes, with three significant digits.
     Histogram::new_with_bounds(1, 600_000_000, 3).map_err(io::Error::other)
 }
 
-struct One {
+/// The result of one request.
+struct RequestResult {
     first: Option<Duration>,
     tokens: u64,
     answer: String,
@@ -74,16 +80,17 @@
     let report = Arc::new(Mutex::new(report));
     let (owned, to) = (load.clone(), report.clone());
     let began = Instant::now();
-    let all = spawn(move || generate(&owned, &to));
-    all.join().map_err(|_| io::Error::other("the load failed"))?;
+    let generator = spawn(move || generate(&owned, &to));
+    generator.join().map_err(|_| io::Error::other("the load failed"))?;
     let mut report = Arc::try_unwrap(report)
-        .map_err(|_| io::Error::other("a client is still at it"))?
+        .map_err(|_| io::Error::other("a client is still running"))?
         .into_inner()
         .map_err(|_| io::Error::other("a client failed"))?;
     report.took = began.elapsed();
     Ok(report)
 }
 
+/// Sends the requests at their scheduled times and waits for all of them.
 fn generate(load: &Load, report: &Arc<Mutex<Report>>) {
     let count = (load.per_second * load.seconds) as u64;
     let began = Instant::now();
@@ -97,18 +104,18 @@
             let (load, report) = (load.clone(), report.clone());
             spawn(move || {
                 let sent = Instant::now();
-                let one = send_request(&load, number, due);
+                let result = send(&load, number, due);
                 let whole = due.elapsed();
                 let Ok(mut report) = report.lock() else { return };
                 report.sent += 1;
-                report.tokens += one.tokens;
-                // What lies beyond the bounds counts at them.
+                report.tokens += result.tokens;
+                // Values beyond the bounds count at the bounds.
                 report.lag.saturating_record(sent.saturating_duration_since(due).as_micros() as u64);
-                if let Some(first) = one.first {
+                if let Some(first) = result.first {
                     report.first.saturating_record(first.as_micros() as u64);
                     report.whole.saturating_record(whole.as_micros() as u64);
                 }
-                *report.answers.entry(one.answer).or_default() += 1;
+                *report.answers.entry(result.answer).or_default() += 1;
             })
         })
         .collect();
@@ -118,11 +125,12 @@
 }
 
 fn prompt(load: &Load, number: u64) -> String {
-    // All alike but for their end, so that they are kept and reading is not what is measured.
+    // The same text but for the end, so that prompts are cached and reading does not dominate the result.
     format!("{} [[len:{}]] [[task:{number}.0]]", "x".repeat(load.prompt_bytes), load.tokens)
 }
 
-fn send_request(load: &Load, number: u64, due: Instant) -> One {
+/// Sends one request and waits for its end.
+fn send(load: &Load, number: u64, due: Instant) -> RequestResult {
     match &load.target {
         Target::Dispatcher(address) => {
             let mut request = Request::new(&load.model, &prompt(load, number));
@@ -136,48 +144,53 @@
                 Answer::Wrong(why) => format!("wrong: {why}"),
                 other => format!("{other:?}"),
             };
-            One { first: response.first_token.map(|first| first + late), tokens: response.usage[2], answer }
+            RequestResult {
+                first: response.first_token.map(|first| first + late),
+                tokens: response.usage[2],
+                answer,
+            }
         }
         Target::Host(_) => {
-            let mut one = One { first: None, tokens: 0, answer: "Cut".to_owned() };
-            straight(load, number, due, &mut one);
-            one
+            let mut result = RequestResult { first: None, tokens: 0, answer: "Cut".to_owned() };
+            send_to_host(load, number, due, &mut result);
+            result
         }
     }
 }
 
-/// The same question to a host itself; nothing at whatever fault.
-fn straight(load: &Load, number: u64, due: Instant, one: &mut One) -> Option<()> {
+/// Sends the same request to a host directly. Stops at any fault; `result` then has what was received.
+fn send_to_host(load: &Load, number: u64, due: Instant, result: &mut RequestResult) -> Option<()> {
     let pool = load.pool.as_ref()?;
     let until = Instant::now() + Duration::from_secs(60);
     let link: Link = pool.take(Duration::from_secs(1)).ok()?;
-    let asked = engine::Prompt {
+    let engine_prompt = engine::Prompt {
         model: load.model.clone(),
         text: prompt(load, number),
         most_tokens: load.tokens,
         ..engine::Prompt::default()
     };
-    let body = engine::body(&asked, engine::Stage::Whole);
-    let request = engine::request(&pool.address().to_string(), "load", &number.to_string(), &asked, &body);
+    let body = engine::body(&engine_prompt, engine::Stage::Whole);
+    let request =
+        engine::request(&pool.address().to_string(), "load", &number.to_string(), &engine_prompt, &body);
     link.write(&request, until).ok()?;
     let mut reply = Reply::new(link, Limits { body: 1 << 30, ..Limits::default() });
     let head = reply.head(until).ok()?;
-    one.answer = head.status.to_string();
+    result.answer = head.status.to_string();
     let (mut reader, mut bytes, mut events) = (sse::Reader::new(65_536), Vec::new(), Vec::new());
     loop {
         bytes.clear();
         let ended = reply.body(&mut bytes, until).ok()?;
         reader.feed(&bytes, &mut events).ok()?;
         for event in events.drain(..).filter(|event| event.data != engine::DONE) {
-            one.first.get_or_insert_with(|| due.elapsed());
-            one.tokens += u64::from(!engine::piece(&event.data)?.text.is_empty());
+            result.first.get_or_insert_with(|| due.elapsed());
+            result.tokens += u64::from(!engine::piece(&event.data)?.text.is_empty());
         }
         if ended {
             break;
         }
     }
     if head.status == 200 {
-        one.answer = "Delivered".to_owned();
+        result.answer = "Delivered".to_owned();
     }
     if reply.reader.reusable() {
         pool.put(reply.link);
@@ -190,6 +203,7 @@
         self.answers.get("Delivered").copied().unwrap_or(0)
     }
 
+    /// Writes the report as text.
     pub fn print(&self, out: &mut impl Write) -> io::Result<()> {
         writeln!(out, "{} sent in {:.1} s", self.sent, self.took.as_secs_f64())?;
         for (answer, count) in &self.answers {
--- a/crates/rig/src/vary.rs
+++ b/crates/rig/src/vary.rs
@@ -1,5 +1,5 @@
-//! One day played with each of several settings, told in windows of time: what was found kept, what was read anew, how long
-//! first tokens took. The same seed gives each the same tasks at the same moments.
+//! Runs one script with each of several values of a setting and reports by time windows: prompt tokens found in caches,
+//! prompt tokens read again, times to the first token. With the same seed, each run has the same tasks at the same times.
 
 use crate::day::{Day, Outcome, play};
 use serde_json::Value;
@@ -18,7 +18,7 @@
 impl std::str::FromStr for Vary {
     type Err = String;
 
-    /// `/pointer=level,level`; a level that is no JSON is text.
+    /// Parses `/pointer=level,level`. A level that is not valid JSON is taken as text.
     fn from_str(text: &str) -> Result<Self, String> {
         let (pointer, levels) = text.split_once('=').ok_or("/POINTER=LEVEL,LEVEL is wanted")?;
         if !pointer.starts_with('/') || pointer.len() < 2 {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Puts a value where a pointer says, with the objects on the way there.
+/// Sets the value at a JSON pointer and creates missing objects on its path.
 fn put(settings: &mut Value, pointer: &str, level: &Value) {
     let mut at = settings;
     for name in pointer[1..].split('/') {
@@ -41,7 +41,7 @@
     *at = level.clone();
 }
 
-/// What one window of a day came to.
+/// The results in one time window of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Window {
     pub attempts: usize,
@@ -50,18 +50,18 @@
     pub broken_off: usize,
     pub prompt_tokens: u64,
     pub cached_tokens: u64,
-    /// Microseconds.
+    /// Percentiles of the time to the first token, in microseconds.
     pub first_p50: u64,
     pub first_p99: u64,
 }
 
-/// Tries by when they came, in windows of so many microseconds.
-pub fn windows(attempts: &[ClientAttempt], span: u64) -> Vec<Window> {
-    let last = attempts.iter().map(|attempt| attempt.at / span.max(1)).max().unwrap_or(0) as usize;
+/// Groups attempts by their start into windows of `span_us` microseconds.
+pub fn windows(attempts: &[ClientAttempt], span_us: u64) -> Vec<Window> {
+    let last = attempts.iter().map(|attempt| attempt.at / span_us.max(1)).max().unwrap_or(0) as usize;
     let mut firsts: Vec<Vec<u64>> = vec![Vec::new(); last + 1];
     let mut windows = vec![Window::default(); last + 1];
     for attempt in attempts {
-        let at = (attempt.at / span.max(1)) as usize;
+        let at = (attempt.at / span_us.max(1)) as usize;
         let window = &mut windows[at];
         window.attempts += 1;
         window.delivered += usize::from(attempt.answer == Answer::Delivered);
@@ -69,7 +69,7 @@
         window.broken_off += usize::from(attempt.answer == Answer::BrokenOff);
         window.prompt_tokens += attempt.prompt_tokens;
         window.cached_tokens += attempt.cached_tokens;
-        // A plain answer's first token comes with its last.
+        // An answer that is not streamed has its first token at its end.
         if attempt.begun {
             firsts[at].push(attempt.first_token_us);
         }
@@ -82,7 +82,7 @@
     windows
 }
 
-/// Plays the day at each level and prints its windows; whether every rule was kept at all of them.
+/// Runs the script at each level and prints the windows. Returns whether every rule and check passed at all levels.
 pub fn run(
     day: &Day,
     vary: &Vary,
