--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -240,7 +240,7 @@
 }
 
 /// Settings of one dispatcher of a run, with its index, name and seed filled in.
-fn settings_of(day: &Day, number: u32, kept: &Path) -> io::Result<Settings> {
+fn settings_of(day: &Day, number: u32, stored_hosts: &Path) -> io::Result<Settings> {
     let mut value = serde_json::to_value(fleet::settings("day")).map_err(io::Error::other)?;
     let own = day.settings.as_object().ok_or_else(|| other_error("/settings: an object is wanted"))?;
     for (name, given) in own {
@@ -255,7 +255,7 @@
     value["me"] = number.into();
     value["dispatchers"] = day.dispatchers.into();
     value["seed"] = (day.seed * 1000 + u64::from(number)).into();
-    value["hosts_kept"] = kept.to_string_lossy().into();
+    value["hosts_kept"] = stored_hosts.to_string_lossy().into();
     value.as_object_mut().into_iter().for_each(|value| value.retain(|_, value| !value.is_null()));
     settings::check(&value.to_string()).map_err(settings_error)
 }
@@ -378,6 +378,7 @@
     }
 }
 
+/// The parameters of the rules, from the settings of the dispatchers and the locations of the hosts.
 fn rule_params(playback: &Playback, rules: &settings::RuleFigures) -> RuleParams {
     let effect = |offering: &settings::Offering| match offering.effect {
         settings::Effect::Replayable => Effect::Replayable,
@@ -410,6 +411,7 @@
     List(HostList),
 }
 
+/// Plays the events at their times, with clients beside, and compares the counts at the end.
 fn run(
     playback: &Arc<Playback>,
     program: &Path,
@@ -429,10 +431,10 @@
     let generator = playback.clone();
     let clients = spawn(move || generate_load(&generator, began));
     let mut active_faults: Vec<(usize, usize)> = Vec::new();
-    let mut listed_until = 0;
+    let mut last_list_at_ms = 0;
     let mut was_killed = vec![false; children.len()];
-    let ends = Duration::from_secs_f64(playback.day.seconds);
-    while began.elapsed() < ends || !schedule.is_empty() {
+    let duration = Duration::from_secs_f64(playback.day.seconds);
+    while began.elapsed() < duration || !schedule.is_empty() {
         let Some((&(at, number), _)) = schedule.first_key_value() else {
             thread::sleep(Duration::from_millis(20));
             continue;
@@ -446,10 +448,10 @@
         // Changes are pushed in the order in which they happened, also when the delay changes.
         let mut schedule_list = |after_ms: u64, action: Action| {
             sequence += 1;
-            listed_until = listed_until.max(at + after_ms);
-            schedule.insert((listed_until, sequence), action);
+            last_list_at_ms = last_list_at_ms.max(at + after_ms);
+            schedule.insert((last_list_at_ms, sequence), action);
         };
-        let late = playback.list_delay_ms.load(Ordering::Relaxed);
+        let delay_ms = playback.list_delay_ms.load(Ordering::Relaxed);
         match action {
             Action::List(mut list) => {
                 list.version = playback.version.fetch_add(1, Ordering::SeqCst) + 1;
@@ -465,13 +467,16 @@
                 }
                 Incident::Crash { hosts } => {
                     hosts.iter().for_each(|host| playback.fleet.hosts[*host].crash());
-                    schedule_list(late, Action::List(list_changes(playback, hosts, HostStanding::Gone)));
+                    schedule_list(delay_ms, Action::List(list_changes(playback, hosts, HostStanding::Gone)));
                 }
                 Incident::Drain { hosts } => {
-                    schedule_list(late, Action::List(list_changes(playback, hosts, HostStanding::Draining)));
+                    schedule_list(
+                        delay_ms,
+                        Action::List(list_changes(playback, hosts, HostStanding::Draining)),
+                    );
                     // Removed from the list after half of the time: until then, requests in progress may end.
                     let gone = list_changes(playback, hosts, HostStanding::Gone);
-                    schedule_list(late.max(playback.day.events[i].for_ms / 2) + 1, Action::List(gone));
+                    schedule_list(delay_ms.max(playback.day.events[i].for_ms / 2) + 1, Action::List(gone));
                 }
                 Incident::Kill { dispatchers } => {
                     for number in dispatchers {
@@ -498,7 +503,10 @@
                         playback.fleet.hosts[*host].crash();
                         playback.fleet.hosts[*host].restart()?;
                     }
-                    schedule_list(late, Action::List(list_changes(playback, hosts, HostStanding::Running)));
+                    schedule_list(
+                        delay_ms,
+                        Action::List(list_changes(playback, hosts, HostStanding::Running)),
+                    );
                 }
                 Incident::Kill { dispatchers } => {
                     for number in dispatchers {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -48,15 +48,19 @@
     #[serde(rename = "kept_tokens")]
     pub prefix_cache_tokens: u64,
     /// Tokens of a state that a writer fetches from this host per second.
-    pub link_per_s: f64,
+    #[serde(rename = "link_per_s")]
+    pub fetch_tokens_per_s: f64,
     /// Requests per second that the host accepts when warm. The limit while cold is a share of it.
     pub capacity_per_s: f64,
     /// The share of the capacity that a host has right after its start; it grows to 1 over `warm_up_ms`.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub cold_share: f64,
     pub warm_up_ms: u64,
-    /// A cold host fails when it receives more than this multiple of its capacity over `fall_ms`.
-    pub fall_multiple: f64,
-    pub fall_ms: u64,
+    /// A cold host fails when it receives more than this multiple of its capacity in the window.
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_ms")]
+    pub overload_window_ms: u64,
     /// The hosts that discard repeats of a reference together.
     pub group: Group,
     /// How long they remember a reference; 0 discards nothing.
@@ -77,12 +81,12 @@
             read_per_s: 20_000.0,
             token_ms: 5.0,
             prefix_cache_tokens: 100_000,
-            link_per_s: 400_000.0,
+            fetch_tokens_per_s: 400_000.0,
             capacity_per_s: 100.0,
-            cold_from: 0.3,
+            cold_share: 0.3,
             warm_up_ms: 10_000,
-            fall_multiple: 2.5,
-            fall_ms: 3000,
+            overload_multiple: 2.5,
+            overload_window_ms: 3000,
             group: Group::All,
             reference_window_ms: 0,
         }
@@ -229,6 +233,7 @@
     peak_cold_load: u64,
 }
 
+/// A running stand-in host.
 pub struct Host {
     pub spec: Spec,
     pub name: String,
@@ -274,9 +279,9 @@
         Ok(host)
     }
 
-    /// Whether the host's group remembers this reference, so that the effect of its task is discarded. Remembers it
-    /// from now on.
-    fn is_repeat(&self, reference: &str) -> bool {
+    /// Remembers a reference for the host's group. Returns whether the group remembered it already, so that the effect of
+    /// its task is discarded.
+    fn remember_reference(&self, reference: &str) -> bool {
         let group = match self.spec.group {
             Group::All => String::new(),
             Group::Zone => self.spec.zone.clone(),
@@ -404,13 +409,13 @@
             inner.cold = false;
             return;
         }
-        let (now, span) = (Instant::now(), Duration::from_millis(spec.fall_ms));
+        let (now, span) = (Instant::now(), Duration::from_millis(spec.overload_window_ms));
         inner.cold_arrivals.push_back(now);
         while inner.cold_arrivals.front().is_some_and(|at| now.duration_since(*at) > span) {
             inner.cold_arrivals.pop_front();
         }
-        let part = spec.cold_from + (1.0 - spec.cold_from) * age;
-        let limit = spec.fall_multiple * part * spec.capacity_per_s * span.as_secs_f64();
+        let capacity_share = spec.cold_share + (1.0 - spec.cold_share) * age;
+        let limit = spec.overload_multiple * capacity_share * spec.capacity_per_s * span.as_secs_f64();
         let share = (1000.0 * inner.cold_arrivals.len() as f64 / limit.max(1.0)) as u64;
         if share > inner.peak_cold_load {
             inner.peak_cold_load = share;
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -98,7 +98,7 @@
             let Some(state) = state else { return exchange.reply(404, &[], &json!({})) };
             host.record(&state.tag, &state.dispatcher, HostEventKind::StateTaken(id.to_owned()));
             let slowdown = host.faults().link_slowdown;
-            let rate = host.spec.link_per_s;
+            let rate = host.spec.fetch_tokens_per_s;
             exchange.reply(
                 200,
                 &[],
@@ -352,8 +352,9 @@
             self.record_end(false);
             return false;
         }
-        let repeat = self.reference.as_ref().is_some_and(|reference| self.host.is_repeat(reference));
-        self.record(if repeat { HostEventKind::Repeat } else { HostEventKind::Ran });
+        let is_repeat =
+            self.reference.as_ref().is_some_and(|reference| self.host.remember_reference(reference));
+        self.record(if is_repeat { HostEventKind::Repeat } else { HostEventKind::Ran });
         let reusable = self.tokens(completion, prompt_tokens, cached, slot);
         self.record_end(false);
         reusable
