--- a/crates/judge/tests/doctored.rs
+++ b/crates/judge/tests/doctored.rs
@@ -62,19 +62,19 @@
     HostEventKind::StateReleased("s1".into())
 }
 
-const OK: HostEventKind = HostEventKind::Ended { refused: false };
+const ENDED: HostEventKind = HostEventKind::Ended { refused: false };
 const REFUSED: HostEventKind = HostEventKind::Ended { refused: true };
 
 /// A correct request: read at r1, written at w1, delivered.
-fn sound() -> Record {
+fn correct_record() -> Record {
     let host_events = vec![
         host_event(10, "r1", HostEventKind::Read),
         host_event(50, "r1", made()),
-        host_event(50, "r1", OK),
+        host_event(50, "r1", ENDED),
         host_event(52, "w1", HostEventKind::Write),
         host_event(60, "r1", taken()),
         host_event(61, "w1", HostEventKind::Ran),
-        host_event(300, "w1", OK),
+        host_event(300, "w1", ENDED),
     ];
     let attempts = vec![ClientAttempt { begun: true, ..attempt(0, Answer::Delivered, 301) }];
     Record { params: params(), host_events, attempts, ended: 20_000 * MS, ..Record::default() }
@@ -88,7 +88,7 @@
 #[test]
 fn each_violation_is_reported_and_no_near_miss_is() {
     let with = |change: &dyn Fn(&mut Record)| {
-        let mut record = sound();
+        let mut record = correct_record();
         change(&mut record);
         record
     };
@@ -99,7 +99,7 @@
         running,
     };
     let cases: Vec<(&str, Vec<usize>, Record)> = vec![
-        ("a sound path", vec![], sound()),
+        ("a correct request", vec![], correct_record()),
         // Rule 1.
         ("no answer in time", vec![1], with(&|r| r.attempts[0].answer = Answer::Late)),
         ("cut off", vec![1], with(&|r| r.attempts[0].answer = Answer::Cut)),
@@ -133,7 +133,7 @@
             vec![],
             with(&|r| {
                 r.host_events.push(host_event(310, "w2", HostEventKind::Write));
-                r.host_events.push(host_event(311, "w2", OK));
+                r.host_events.push(host_event(311, "w2", ENDED));
             }),
         ),
         // Rule 2.
@@ -160,7 +160,7 @@
             with(&|r| {
                 r.attempts[0].offering = 2;
                 r.host_events.insert(0, host_event(5, "r1", HostEventKind::Read));
-                r.host_events.insert(1, host_event(9, "r1", OK));
+                r.host_events.insert(1, host_event(9, "r1", ENDED));
             }),
         ),
         (
@@ -174,7 +174,7 @@
             with(&|r| {
                 r.attempts[0].offering = 1;
                 r.host_events.insert(3, host_event(51, "w2", HostEventKind::Write));
-                r.host_events.insert(4, host_event(51, "w2", OK));
+                r.host_events.insert(4, host_event(51, "w2", ENDED));
             }),
         ),
         (
@@ -183,7 +183,7 @@
             with(&|r| {
                 r.attempts[0].offering = 1;
                 r.host_events.insert(3, host_event(51, "w3", HostEventKind::Write));
-                r.host_events.insert(4, host_event(51, "w3", OK));
+                r.host_events.insert(4, host_event(51, "w3", ENDED));
             }),
         ),
         (
@@ -251,7 +251,7 @@
             with(&|r| {
                 r.host_events.truncate(3);
                 r.host_events.push(host_event(60, "w2", HostEventKind::Write));
-                r.host_events.push(host_event(3000, "w2", OK));
+                r.host_events.push(host_event(3000, "w2", ENDED));
                 r.host_events.push(host_event(3010, "r1", released()));
                 r.attempts[0].ended = 3020 * MS;
             }),
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -786,14 +786,15 @@
 fn is_correct(request: &Request, response: &Response, tokens: u32) -> bool {
     let Ok(call) = tulipstall_messages::parse(request.body().as_bytes()) else { return false };
     // A writer that continues past the end sends the words that would come next.
-    let most = if response.answer == Answer::Delivered { tokens.min(request.most_tokens) } else { 2048 };
-    let whole = text::answer(&call.prompt, most);
+    let max_tokens =
+        if response.answer == Answer::Delivered { tokens.min(request.most_tokens) } else { 2048 };
+    let expected = text::answer(&call.prompt, max_tokens);
     match response.answer {
         Answer::Delivered => {
-            response.text == whole && response.usage[2] == u64::from(tokens.min(request.most_tokens))
+            response.text == expected && response.usage[2] == u64::from(tokens.min(request.most_tokens))
         }
         Answer::Refused(_) | Answer::Bounced => true,
-        _ => whole.starts_with(&response.text),
+        _ => expected.starts_with(&response.text),
     }
 }
 
@@ -908,9 +909,9 @@
     writeln!(out, "{kills} dispatchers killed, {} lines seen by hosts", outcome.record.host_events.len())?;
     let (mut passed, mut failed) = (0, 0);
     for verdict in &outcome.verdicts {
-        let kept = verdict.violations.is_empty();
-        (passed, failed) = if kept { (passed + 1, failed) } else { (passed, failed + 1) };
-        let word = if kept { "kept" } else { "BROKEN" };
+        let rule_kept = verdict.violations.is_empty();
+        (passed, failed) = if rule_kept { (passed + 1, failed) } else { (passed, failed + 1) };
+        let word = if rule_kept { "kept" } else { "BROKEN" };
         writeln!(
             out,
             "rule {:28} {word:7} {:>6} looked at, nearest {:>3.0}% {}",
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -105,7 +105,7 @@
             spawn(move || {
                 let sent = Instant::now();
                 let result = send(&load, number, due);
-                let whole = due.elapsed();
+                let total = due.elapsed();
                 let Ok(mut report) = report.lock() else { return };
                 report.sent += 1;
                 report.tokens += result.tokens;
@@ -113,7 +113,7 @@
                 report.lag.saturating_record(sent.saturating_duration_since(due).as_micros() as u64);
                 if let Some(first) = result.first {
                     report.first.saturating_record(first.as_micros() as u64);
-                    report.whole.saturating_record(whole.as_micros() as u64);
+                    report.whole.saturating_record(total.as_micros() as u64);
                 }
                 *report.answers.entry(result.answer).or_default() += 1;
             })
--- a/crates/rig/tests/losses.rs
+++ b/crates/rig/tests/losses.rs
@@ -39,7 +39,7 @@
 }
 
 /// Why a response is neither the full answer nor a clear failure; none if it is one of them.
-fn wrong(request: &Request, response: &Response) -> Option<&'static str> {
+fn defect_of(request: &Request, response: &Response) -> Option<&'static str> {
     let call = tulipstall_messages::parse(request.body().as_bytes()).expect("a good body");
     let whole = text::answer(&call.prompt, TOKENS);
     let names: Vec<&str> = response.events.iter().map(|event| event.name.as_str()).collect();
@@ -50,7 +50,7 @@
         Answer::Delivered if !stops || errors => Some("no clear end"),
         Answer::Delivered if response.usage[2] != u64::from(TOKENS) => Some("another count of tokens"),
         Answer::Delivered => None,
-        Answer::BrokenOff if !whole.starts_with(&response.text) => Some("a text that is no beginning"),
+        Answer::BrokenOff if !whole.starts_with(&response.text) => Some("a text that is not a prefix"),
         Answer::BrokenOff if stops => Some("broken off and stopped"),
         Answer::BrokenOff if !names.is_empty() && !errors => Some("no error event"),
         Answer::BrokenOff => None,
@@ -127,8 +127,8 @@
         let all = clients.join();
         assert_eq!(all.len(), STREAMS);
         for (task, response) in all.iter() {
-            let wrong = wrong(&task_request(*task), response);
-            assert!(wrong.is_none(), "{lost} lost, stream {task}: {wrong:?}: {response:?}");
+            let defect = defect_of(&task_request(*task), response);
+            assert!(defect.is_none(), "{lost} lost, stream {task}: {defect:?}: {response:?}");
         }
         let begun_of = |offering: &str| -> Vec<&Response> {
             let of = |(task, response): &&(usize, Response)| {
--- a/crates/rig/tests/paths.rs
+++ b/crates/rig/tests/paths.rs
@@ -322,7 +322,7 @@
         let (address, requests) = start_peer(peer);
         let dispatcher = start(|_| {});
         let mut list = fleet.list();
-        let sound = list.hosts.pop();
+        let correct_writer = list.hosts.pop();
         list.hosts.push(line(address, "decode", HostStanding::Running));
         dispatcher.push(&list);
         // The correct writer is listed once the peer has received the request.
@@ -331,7 +331,7 @@
             thread::spawn(move || send_to(&dispatcher, request(offering, "x"), ClientOptions::default()))
         };
         wait_for("the peer to be asked", || requests.load(Ordering::SeqCst) > 0);
-        dispatcher.push(&HostList { version: 2, whole: false, hosts: sound.into_iter().collect() });
+        dispatcher.push(&HostList { version: 2, whole: false, hosts: correct_writer.into_iter().collect() });
         let response = client.join().expect("a client");
         assert_eq!(response.answer, wanted, "{what} {offering}");
         if wanted == Answer::BrokenOff {
@@ -446,10 +446,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     // Fills the listen queue, so that further connections wait until some are accepted.
-    let mut full = Vec::new();
+    let mut queued = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&address, ms(50)) {
-        full.push(stream);
-        assert!(full.len() < 10_000, "the queue does not fill");
+        queued.push(stream);
+        assert!(queued.len() < 10_000, "the queue does not fill");
     }
     let dispatcher = start(|settings| settings.times.connect_ms = 4000);
     let list =
@@ -464,7 +464,7 @@
     thread::sleep(ms(300));
     let written = Arc::new(Mutex::new(Vec::new()));
     let accepted = Arc::new(AtomicUsize::new(0));
-    let (to, counted, already) = (written.clone(), accepted.clone(), full.len());
+    let (to, counted, already) = (written.clone(), accepted.clone(), queued.len());
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let to = to.clone();
@@ -984,11 +984,11 @@
         let length = prompt.len();
         let head = "POST /v1/index/explain HTTP/1.1\r\nhost: x\r\ncontent-length: ";
         let about = ask_index(format!("{head}{length}\r\n\r\n{prompt}"));
-        let kept = about["kept"].as_array().expect("rows").clone();
+        let rows = about["kept"].as_array().expect("rows").clone();
         let row = |row: &serde_json::Value| {
             (row["host"].as_str().unwrap_or_default().to_owned(), row["tokens"].as_u64().unwrap_or(0))
         };
-        kept.iter().map(row).collect()
+        rows.iter().map(row).collect()
     };
     assert!(explain("a").is_empty());
     let first = send_to(&dispatcher, api_request("a", "1"), ClientOptions::default());
@@ -1041,7 +1041,7 @@
     let index_metric = |what: &str| metric(&dispatcher, &format!("tulipstall_prefix_index{{what=\"{what}\""));
     // For each text: whether it was found in a cache, and how many cache losses the dispatcher had noticed by then.
     let round = |round: usize| -> Vec<(bool, u64)> {
-        let kept = |text: usize| {
+        let run_text = |text: usize| {
             let opening = format!("ตารางเรือ {text} the ferry leaves at {text}. ").repeat(40);
             let api_request =
                 Request::new("chat-reply", &format!("{opening} {round} [[task:{round}-{text}]]"));
@@ -1049,44 +1049,47 @@
             assert_eq!(response.answer, Answer::Delivered, "{round} {text}");
             (response.usage[1] > 300, index_metric("hosts forgot"))
         };
-        (0..TEXTS).map(kept).collect()
+        (0..TEXTS).map(run_text).collect()
     };
-    let count = |round: &[(bool, u64)]| round.iter().filter(|(kept, _)| *kept).count();
+    let count = |round: &[(bool, u64)]| round.iter().filter(|(cached, _)| *cached).count();
     assert_eq!(count(&round(0)), 0);
     assert_eq!(count(&round(1)), TEXTS, "all are found where they were read");
     let (estimated, found) = (index_metric("thought"), index_metric("found"));
     assert!(estimated > 0 && found + found / 20 >= estimated, "{found} of {estimated}");
     fleet.hosts[..3].iter().for_each(|host| host.flush());
     let after_flush = round(2);
-    let left = count(&after_flush);
-    assert!(left < TEXTS - 6, "{left} of {TEXTS} were still kept: nothing was tried");
+    let still_cached = count(&after_flush);
+    assert!(still_cached < TEXTS - 6, "{still_cached} of {TEXTS} were still cached: nothing was tried");
     // A host that held a single text gives a single contradiction, which may not be enough to notice its loss.
-    let forgot = index_metric("hosts forgot");
-    assert!((2..=3).contains(&forgot), "{forgot} forgot");
-    let each = estimated / TEXTS as u64;
-    let vain = (index_metric("thought") - estimated).saturating_sub(index_metric("found") - found);
-    assert!(vain <= 7 * each, "{vain} tokens sent in vain, {each} a text");
+    let losses_noticed = index_metric("hosts forgot");
+    assert!((2..=3).contains(&losses_noticed), "{losses_noticed} losses noticed");
+    let tokens_per_text = estimated / TEXTS as u64;
+    let wasted = (index_metric("thought") - estimated).saturating_sub(index_metric("found") - found);
+    assert!(
+        wasted <= 7 * tokens_per_text,
+        "{wasted} tokens wrongly estimated as cached, {tokens_per_text} a text"
+    );
     // What a host read before the dispatcher noticed its loss may have been removed from the index with the rest.
-    let sure = |text: &usize| after_flush[*text].1 == forgot;
+    let read_after_notice = |text: &usize| after_flush[*text].1 == losses_noticed;
     let again = round(3);
     let lost: Vec<usize> = (0..TEXTS).filter(|text| !again[*text].0).collect();
-    assert!(!lost.iter().any(sure), "what was read anew is known: {lost:?}");
-    assert_eq!(count(&round(4)), TEXTS, "what was read anew is known");
+    assert!(!lost.iter().any(read_after_notice), "what was read again is known: {lost:?}");
+    assert_eq!(count(&round(4)), TEXTS, "what was read again is known");
 }
 
 /// A writer fails after its last token and before the end marker: the answer is complete, for every kind of task.
 #[test]
-fn an_answer_that_lacks_only_its_end_mark_is_whole() {
+fn an_answer_that_lacks_only_its_end_marker_is_complete() {
     let _guard = run_alone();
-    const SAID: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
+    const ANSWER_WITHOUT_END: &[u8] = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n\
         39\r\ndata: {\"choices\":[{\"text\":\"x\",\"finish_reason\":\"stop\"}]}\n\n\r\n";
     let ends: fn(&mut TcpStream) = |stream| {
-        drop(stream.write_all(SAID));
+        drop(stream.write_all(ANSWER_WITHOUT_END));
         drop(stream.write_all(b"0\r\n\r\n"));
     };
-    let cut: fn(&mut TcpStream) = |stream| drop(stream.write_all(SAID));
+    let cut: fn(&mut TcpStream) = |stream| drop(stream.write_all(ANSWER_WITHOUT_END));
     let silent: fn(&mut TcpStream) = |stream| {
-        drop(stream.write_all(SAID));
+        drop(stream.write_all(ANSWER_WITHOUT_END));
         thread::sleep(ms(800));
     };
     for (what, peer) in [("ends", ends), ("cut", cut), ("silent", silent)] {
