--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tulipstall::Rules;
 use tulipstall::door::NameRegistry;
-use tulipstall::interface::{Action, Closed, Event, Key, Listed, Order, Outcome, Standing};
+use tulipstall::interface::{Action, CacheKey, Closed, Event, Listed, Order, Outcome, Standing};
 
 /// One entry of a numbered host list.
 pub struct HostRow {
@@ -49,7 +49,7 @@
         let session = fields.next().map(|name| self.names.sessions.intern(name));
         let left = Duration::from_micros(fields.integer_or("the time left", 0)?);
         let hint = fields.duration_or_none("the hint")?;
-        let shared: Option<Key> = fields.next().map(|name| self.names.shared_texts.intern(name));
+        let shared: Option<CacheKey> = fields.next().map(|name| self.names.shared_texts.intern(name));
         let prompt_tokens = fields.number_or("the prompt's length", 0.0)? as u32;
         let shared_tokens = fields.number_or("the shared length", 0.0)? as u32;
         let most_tokens = fields.number_or("the output limit", 0.0)? as u32;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,8 +25,10 @@
 /// Identifies a task in progress: its slot, and the generation of the slot, which changes each time the slot is reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TaskId {
-    pub place: u32,
-    pub turn: u32,
+    #[serde(rename = "place")]
+    pub slot: u32,
+    #[serde(rename = "turn")]
+    pub generation: u32,
 }
 
 /// One entry of a host list, with names instead of indices (see [`Listed`]).
@@ -395,7 +397,9 @@
     }
 
     fn entry(&mut self, task: TaskId) -> Option<&mut TaskEntry> {
-        self.entries.get_mut(task.place as usize).filter(|entry| entry.live && entry.generation == task.turn)
+        self.entries
+            .get_mut(task.slot as usize)
+            .filter(|entry| entry.live && entry.generation == task.generation)
     }
 
     /// Notes that all outputs so far have been carried out: the slots of ended tasks may be reused.
@@ -405,11 +409,11 @@
 
     /// Assigns a slot to a new task, which counts as in progress from here on. [`Core::arrive`] then starts it.
     pub fn enter(&mut self) -> TaskId {
-        let place = self.free_slots.pop().unwrap_or_else(|| {
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.entries.push(TaskEntry::default());
             self.entries.len() as u32 - 1
         });
-        let entry = &mut self.entries[place as usize];
+        let entry = &mut self.entries[slot as usize];
         let (mut shots, mut estimated_blocks) =
             (std::mem::take(&mut entry.shots), std::mem::take(&mut entry.estimated_blocks));
         shots.clear();
@@ -422,7 +426,7 @@
             ..TaskEntry::default()
         };
         self.in_hand += 1;
-        TaskId { place, turn: entry.generation }
+        TaskId { slot, generation: entry.generation }
     }
 
     /// Passes a new task to the decisions.
@@ -436,7 +440,7 @@
         let known = self.answer_lengths.get(offering).filter(|lengths| lengths.samples > 0);
         let pace = self.token_pace_s.get(offering).copied().unwrap_or(0.05);
         let order = Order {
-            task: task.place,
+            task: task.slot,
             offering: Some(ask.offering),
             customer: ask.customer,
             session: ask.session.as_deref().map(|name| self.names.sessions.intern(name)),
@@ -464,7 +468,7 @@
         let tokens = |kept: &Kept| (f64::from(kept.blocks * BLOCK) * kept.belief) as u32;
         let estimates =
             self.cached.iter().map(|kept| (kept.host, tokens(kept).min(ask.prompt_tokens))).collect();
-        if let Some(entry) = self.entries.get_mut(task.place as usize) {
+        if let Some(entry) = self.entries.get_mut(task.slot as usize) {
             entry.estimated_blocks.extend(self.cached.iter().map(|kept| (kept.host, kept.blocks)));
         }
         self.apply_event(now, Event::Kept { kept: estimates }, out);
@@ -473,7 +477,7 @@
     /// A prompt was read at a host. Compares the cached part that the host reported with the estimate; the host has all of
     /// the prompt cached now.
     fn record_read(&mut self, now: Duration, task: TaskId, host: u32, end: &End) {
-        let Some(entry) = self.entries.get(task.place as usize) else { return };
+        let Some(entry) = self.entries.get(task.slot as usize) else { return };
         let Prefix::Content(prefixes) = &mut self.prefixes else { return };
         let estimated =
             entry.estimated_blocks.iter().find(|(other, _)| *other == host).map_or(0, |(_, blocks)| *blocks);
@@ -501,7 +505,7 @@
                 entry.ended = true;
                 self.counts.client_left += 1;
                 self.cancel_shots(task, None, out);
-                self.apply_event(now, Event::ClientGone { task: task.place }, out);
+                self.apply_event(now, Event::ClientGone { task: task.slot }, out);
             }
             Input::Began { task, shot } => self.answer_began(now, task, shot, out),
             Input::Closed { task, shot, outcome, end } => {
@@ -517,11 +521,11 @@
             self.timers.pop();
             self.apply_event(at.max(now), Event::Timer { token }, out);
         }
-        while let Some(Reverse((_, place, turn, shot))) =
+        while let Some(Reverse((_, slot, generation, shot))) =
             self.overdue_at.peek().copied().filter(|Reverse((at, ..))| *at <= now)
         {
             self.overdue_at.pop();
-            self.shot_overdue(now, TaskId { place, turn }, shot, out);
+            self.shot_overdue(now, TaskId { slot, generation }, shot, out);
         }
     }
 
@@ -604,7 +608,7 @@
         entry.held = None;
         entry.released_under_attempt = None;
         self.cancel_shots(task, Some(shot), out);
-        self.apply_event(now, Event::Started { task: task.place, shot }, out);
+        self.apply_event(now, Event::Started { task: task.slot, shot }, out);
     }
 
     fn shot_closed(
@@ -671,7 +675,7 @@
             self.counts.broken_off += 1;
         }
         let closed = Closed {
-            task: task.place,
+            task: task.slot,
             shot,
             outcome,
             finished: ended || ends,
@@ -696,13 +700,13 @@
 
     /// Carries out one action. An action that no longer applies to its task is ignored.
     fn apply_action(&mut self, now: Duration, action: Action, out: &mut Vec<Output>) {
-        let id = |entries: &[TaskEntry], place: u32| {
-            let turn = entries.get(place as usize).map_or(0, |entry| entry.generation);
-            TaskId { place, turn }
+        let id = |entries: &[TaskEntry], slot: u32| {
+            let generation = entries.get(slot as usize).map_or(0, |entry| entry.generation);
+            TaskId { slot, generation }
         };
         match action {
-            Action::Send { task: place, host, until, begin_by } => {
-                let task = id(&self.entries, place);
+            Action::Send { task: slot, host, until, begin_by } => {
+                let task = id(&self.entries, slot);
                 let role = self.host_roles.get(host as usize).copied().unwrap_or_default();
                 let Some(entry) = self.entry(task) else { return };
                 let shot = entry.shots.len() as u32;
@@ -717,7 +721,7 @@
                 entry.last_combined_shot =
                     if errand == Errand::Whole { Some(shot) } else { entry.last_combined_shot };
                 self.counts.shots += 1;
-                self.overdue_at.push(Reverse((until + OVERDUE_GRACE, place, task.turn, shot)));
+                self.overdue_at.push(Reverse((until + OVERDUE_GRACE, slot, task.generation, shot)));
                 let until = until.max(now);
                 out.push(Output::Send { task, shot, host, errand, until, begin_by, held });
             }
@@ -751,13 +755,13 @@
             }
             Action::Timer { at, token } => self.timers.push(Reverse((at, token))),
             Action::Note { host, what } => out.push(Output::Note { host, what }),
-            Action::Forget { task: place } => {
-                let task = id(&self.entries, place);
+            Action::Forget { task: slot } => {
+                let task = id(&self.entries, slot);
                 if let Some(entry) = self.entry(task) {
                     entry.live = false;
                     let unconfirmed = std::mem::take(&mut entry.unconfirmed);
                     self.in_hand -= 1;
-                    self.ended_slots.push(place);
+                    self.ended_slots.push(slot);
                     let reason = ReleaseReason::Ended;
                     out.extend(unconfirmed.into_iter().map(|held| Output::Release {
                         held,
@@ -817,9 +821,9 @@
             for second in ends {
                 let (mut core, mut out) = (Core::new(1, Terms::default()), Vec::new());
                 let task = core.enter();
-                core.apply_action(Duration::ZERO, first(task.place), &mut out);
+                core.apply_action(Duration::ZERO, first(task.slot), &mut out);
                 assert_eq!(out.len(), 1, "{out:?}");
-                core.apply_action(Duration::ZERO, second(task.place), &mut out);
+                core.apply_action(Duration::ZERO, second(task.slot), &mut out);
                 assert_eq!(out.len(), 1, "{out:?}");
                 assert_eq!(core.counts.bounced + core.counts.broken_off, 1);
             }
@@ -829,7 +833,7 @@
             let (mut core, mut out) = (Core::new(1, Terms::default()), Vec::new());
             let task = core.enter();
             core.on(Duration::ZERO, Input::Gone { task }, &mut out);
-            core.apply_action(Duration::ZERO, end(task.place), &mut out);
+            core.apply_action(Duration::ZERO, end(task.slot), &mut out);
             assert!(out.is_empty(), "{out:?}");
         }
     }
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -253,7 +253,7 @@
     harness.close(task, 1, Outcome::Delivered);
     harness.core.carried_out();
     let (next, _) = harness.start_task();
-    assert_eq!((next.place, next.turn), (task.place, task.turn + 1));
+    assert_eq!((next.slot, next.generation), (task.slot, task.generation + 1));
     for input in [
         Input::Began { task, shot: 1 },
         Input::Began { task, shot: 0 },
@@ -346,11 +346,11 @@
     out.extend(harness.run_until(ms(10_000)));
     assert!(out.contains(&Output::Forget { task: first }), "{out:?}");
     let (second, _) = harness.start_task();
-    assert_ne!(second.place, first.place);
+    assert_ne!(second.slot, first.slot);
     harness.core.carried_out();
     let (third, _) = harness.start_task();
-    assert_eq!(third.place, first.place);
-    assert_ne!(third.turn, first.turn);
+    assert_eq!(third.slot, first.slot);
+    assert_ne!(third.generation, first.generation);
 }
 
 /// Which shot of a task is reported as the first that may have run: never a read or a refused shot, but an earlier shot even
--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -514,7 +514,7 @@
         let ms = task.arrived.elapsed().as_millis() as u64;
         tracing::info!(
             request_id = task.name,
-            task = task.id().map(|id| id.place),
+            task = task.id().map(|id| id.slot),
             offering,
             answer,
             ms,
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -178,7 +178,7 @@
         self.core.on(now, Input::Tick, outputs);
         let id = self.core.enter();
         task.set_id(id);
-        let slot = id.place as usize;
+        let slot = id.slot as usize;
         self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
         self.tasks[slot] = Some(ActiveTask { id, task, shots: Vec::new() });
         // The shot of the lost answer that this task continues is already closed: the same coroutine reported it before.
@@ -208,7 +208,7 @@
     }
 
     fn active(&mut self, id: TaskId) -> Option<&mut ActiveTask> {
-        self.tasks.get_mut(id.place as usize)?.as_mut().filter(|active| active.id == id)
+        self.tasks.get_mut(id.slot as usize)?.as_mut().filter(|active| active.id == id)
     }
 
     /// The endpoint of a host, by the host's index in the core.
@@ -285,7 +285,7 @@
             }
             Output::Forget { task } => {
                 if self.active(task).is_some() {
-                    self.tasks[task.place as usize] = None;
+                    self.tasks[task.slot as usize] = None;
                 }
             }
         }
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -108,7 +108,7 @@
 }
 
 fn log_loss(task: &Task, begun: &BegunAnswer, why: &str) {
-    let (host, slot) = (&begun.endpoint.name, task.id().map(|id| id.place));
+    let (host, slot) = (&begun.endpoint.name, task.id().map(|id| id.slot));
     tracing::warn!(request_id = task.name, task = slot, host, why, "stream lost");
 }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -118,14 +118,14 @@
         self.core.on(now, Input::Tick, outputs);
         let id = self.core.enter();
         task.set_id(id);
-        let slot = id.place as usize;
+        let slot = id.slot as usize;
         self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
         self.tasks[slot] = Some(InHand { id, task: task.clone(), shots: Vec::new() });
         self.core.arrive(now, id, &task.ask, outputs);
     }
 
     fn task_in_hand(&mut self, id: TaskId) -> Option<&mut InHand> {
-        self.tasks.get_mut(id.place as usize)?.as_mut().filter(|in_hand| in_hand.id == id)
+        self.tasks.get_mut(id.slot as usize)?.as_mut().filter(|in_hand| in_hand.id == id)
     }
 
     /// The endpoint of a host, by its index.
@@ -201,7 +201,7 @@
             }
             Output::Forget { task } => {
                 if self.task_in_hand(task).is_some() {
-                    self.tasks[task.place as usize] = None;
+                    self.tasks[task.slot as usize] = None;
                     self.shared.unsettled.fetch_sub(1, Ordering::SeqCst);
                 }
             }
--- a/crates/node/src/task.rs
+++ b/crates/node/src/task.rs
@@ -46,13 +46,13 @@
     }
 
     pub fn set_id(&self, id: TaskId) {
-        self.packed_id.store(u64::from(id.place) << 32 | u64::from(id.turn), Ordering::Release);
+        self.packed_id.store(u64::from(id.slot) << 32 | u64::from(id.generation), Ordering::Release);
     }
 
     /// Its id in the core, once it has one.
     pub fn id(&self) -> Option<TaskId> {
         let packed = self.packed_id.load(Ordering::Acquire);
-        (packed != u64::MAX).then_some(TaskId { place: (packed >> 32) as u32, turn: packed as u32 })
+        (packed != u64::MAX).then_some(TaskId { slot: (packed >> 32) as u32, generation: packed as u32 })
     }
 
     fn settle(&self, answer: u32) -> bool {
--- a/src/door.rs
+++ b/src/door.rs
@@ -1,7 +1,7 @@
 //! Interning of names: maps the names of hosts, tasks, sessions and so on to the small indices that the decisions work
 //! with. Each dispatcher has one registry. Every table is bounded; that of tasks by the tasks in progress.
 
-use crate::interface::{Key, Listed, Role, Standing, Term, Terms};
+use crate::interface::{CacheKey, Listed, Role, Standing, Term, Terms};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use slab::Slab;
 use std::collections::VecDeque;
@@ -12,7 +12,7 @@
 const MAX_KEYS: usize = 65_536;
 
 /// Hashes a name without a seed, so that every dispatcher computes the same value.
-pub fn mark(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
@@ -176,24 +176,24 @@
 
 impl KeyNames {
     /// The key of the name, which is added if it is new.
-    pub fn intern(&mut self, name: &str) -> Key {
-        let mark = mark(name);
-        if let Some(&place) = self.index.get(name) {
-            return Key { place, turn: self.slots[place as usize].1, mark };
+    pub fn intern(&mut self, name: &str) -> CacheKey {
+        let hash = name_hash(name);
+        if let Some(&slot) = self.index.get(name) {
+            return CacheKey { slot, generation: self.slots[slot as usize].1, hash };
         }
-        let place = self.next_slot;
+        let slot = self.next_slot;
         self.next_slot = (self.next_slot + 1) % MAX_KEYS;
-        self.index.insert(name.to_owned(), place as u32);
-        match self.slots.get_mut(place) {
-            Some((current_name, turn)) => {
+        self.index.insert(name.to_owned(), slot as u32);
+        match self.slots.get_mut(slot) {
+            Some((current_name, generation)) => {
                 self.index.remove(current_name.as_str());
                 name.clone_into(current_name);
-                *turn = turn.wrapping_add(1);
-                Key { place: place as u32, turn: *turn, mark }
+                *generation = generation.wrapping_add(1);
+                CacheKey { slot: slot as u32, generation: *generation, hash }
             }
             None => {
                 self.slots.push((name.to_owned(), 1));
-                Key { place: place as u32, turn: 1, mark }
+                CacheKey { slot: slot as u32, generation: 1, hash }
             }
         }
     }
@@ -245,7 +245,7 @@
             self.hosts.set_departed(index);
         }
         let (role, memory_tokens) = self.role_and_memory(kind);
-        Some(Listed { host: index, mark: mark(host), zone, role, memory_tokens, ..line })
+        Some(Listed { host: index, name_hash: name_hash(host), zone, role, memory_tokens, ..line })
     }
 
     /// Role and memory in tokens of a kind of host, from the configuration.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -66,15 +66,18 @@
 
 /// Identifies a session (a conversation) or a shared text (the start of a prompt that several sessions have in common).
 ///
-/// Slots are reused: `turn` is the generation of the slot, which changes when the slot is assigned to another name.
+/// Slots are reused: the generation of a slot changes when the slot is assigned to another name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Key {
+pub struct CacheKey {
     /// Index of the slot.
-    pub place: u32,
+    #[serde(rename = "place")]
+    pub slot: u32,
     /// Generation of the slot.
-    pub turn: u32,
+    #[serde(rename = "turn")]
+    pub generation: u32,
     /// Hash of the name, the same in every dispatcher.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub hash: u64,
 }
 
 /// Availability of a host according to the host list.
@@ -107,7 +110,8 @@
 pub struct Listed {
     pub host: u32,
     /// Hash of the name, the same in every dispatcher.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub name_hash: u64,
     /// Uptime of the server process; absent if it has been up for long or is not known.
     pub up_for: Option<Duration>,
     /// The group of servers with fast links between them (a rack) that it belongs to.
@@ -192,9 +196,9 @@
     /// The tenant.
     pub customer: Option<u32>,
     /// The conversation that the request belongs to.
-    pub session: Option<Key>,
+    pub session: Option<CacheKey>,
     /// The start of the prompt that several sessions have in common.
-    pub shared: Option<Key>,
+    pub shared: Option<CacheKey>,
     /// Time left until the client gives up on this request.
     pub left: Duration,
     /// Rough estimate of the answer's length, as time at the offering's token rate.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,7 @@
 //! started and is ramped up by a send budget. `t` is the index of a task, `h` that of a host.
 
 use crate::interface::{
-    Action, Closed, Event, Key, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Terms,
+    Action, CacheKey, Closed, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Terms,
 };
 use crate::release::release_after;
 pub use crate::state::Rules;
@@ -156,7 +156,10 @@
             let host = &mut self.hosts[index];
             // A later start under the same index is a new host, and so is a new name. Only what is still in
             // flight is carried over.
-            if host.listed.mark != line.mark || host.listed == Listed::default() || warm_at > host.warm_at {
+            if host.listed.name_hash != line.name_hash
+                || host.listed == Listed::default()
+                || warm_at > host.warm_at
+            {
                 *host = Host {
                     pending_read_tokens: host.pending_read_tokens,
                     pending_stream_tokens: host.pending_stream_tokens,
@@ -170,7 +173,7 @@
                     },
                     last_answer_at: now,
                     send_budget: DecayingLevel {
-                        level: (budget_offset + Pcg32(line.mark).advanced().next_unit()).fract(),
+                        level: (budget_offset + Pcg32(line.name_hash).advanced().next_unit()).fract(),
                         updated_at: now,
                     },
                     ..Host::default()
@@ -307,7 +310,7 @@
         }
         // The slot has a new owner, which must not be blamed for shots of the one that left. Holds against
         // fleets that are replaced at once under new names while shots are in flight.
-        if host.listed.mark != shot.listed.mark {
+        if host.listed.name_hash != shot.listed.name_hash {
             return t;
         }
         // A host that rejects a shot although it looks mostly free (own counts, multiplied by the number of
@@ -468,8 +471,9 @@
         let (task, order) = (&self.tasks[t], &self.tasks[t].order);
         // A host that reports nothing of it has lost it: there is no reason to go back.
         let may_hold = |h: &u32| task.reported_cached_tokens(*h) != Some(0);
-        let last_in =
-            |table: &[CachedText], key: Option<Key>| find_cached(table, key)?.last_reader.filter(may_hold);
+        let last_in = |table: &[CachedText], key: Option<CacheKey>| {
+            find_cached(table, key)?.last_reader.filter(may_hold)
+        };
         let of_session = last_in(&self.session_caches, order.session).or(task.session_home);
         of_session.or_else(|| last_in(&self.shared_text_caches, order.shared))
     }
@@ -506,8 +510,8 @@
     }
 
     /// Weighted rendezvous hashing: each host ranks highest for a share of keys in proportion to its weight.
-    fn home_rank(key: Key, host: &Host) -> f64 {
-        host.home_weight / -Pcg32(key.mark ^ host.listed.mark).advanced().next_unit().ln().min(-1e-12)
+    fn home_rank(key: CacheKey, host: &Host) -> f64 {
+        host.home_weight / -Pcg32(key.hash ^ host.listed.name_hash).advanced().next_unit().ln().min(-1e-12)
     }
 
     /// Hosts of a role that may be sent to as the list has it.
@@ -1050,7 +1054,7 @@
         let silent = now >= silent_at && host.last_answer_at <= shot.sent_at && peer_answered;
         let overtaken = now >= shot.sent_at + silence_limit
             && host.latest_answered_sent_at > shot.sent_at + silence_limit / 4;
-        let gone = host.listed.standing == Standing::Gone || host.listed.mark != shot.listed.mark;
+        let gone = host.listed.standing == Standing::Gone || host.listed.name_hash != shot.listed.name_hash;
         let may_not_repeat = shot.phase != Phase::Read && !offering.may_repeat(&shot, None, now);
         let desired = &mut self.tasks[t].desired;
         desired.keep_held = true;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! The state that the rules keep, and plain helpers on it. The decisions are in [`crate::rules`].
 
-use crate::interface::{Belief, Key, Listed, Order, Standing, Terms};
+use crate::interface::{Belief, CacheKey, Listed, Order, Standing, Terms};
 use crate::release::HeldState;
 use std::time::Duration;
 
@@ -252,14 +252,14 @@
     }
 }
 
-pub(crate) fn find_cached(table: &[CachedText], key: Option<Key>) -> Option<&CachedText> {
-    table.get(key?.place as usize).filter(|cached| Some(cached.generation) == key.map(|key| key.turn))
+pub(crate) fn find_cached(table: &[CachedText], key: Option<CacheKey>) -> Option<&CachedText> {
+    table.get(key?.slot as usize).filter(|cached| Some(cached.generation) == key.map(|key| key.generation))
 }
 
 /// Tokens of a text that a host is believed to have cached, if it read them after `since`.
 pub(crate) fn cached_tokens_at(
     table: &[CachedText],
-    key: Option<Key>,
+    key: Option<CacheKey>,
     h: u32,
     since: Duration,
 ) -> Option<u32> {
@@ -286,19 +286,24 @@
     ranked.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|(.., h)| h)
 }
 
-fn entry_of(table: &mut Vec<CachedText>, key: Key) -> &mut CachedText {
-    if table.len() <= key.place as usize {
-        table.resize(key.place as usize + 1, CachedText::default());
+fn entry_of(table: &mut Vec<CachedText>, key: CacheKey) -> &mut CachedText {
+    if table.len() <= key.slot as usize {
+        table.resize(key.slot as usize + 1, CachedText::default());
     }
-    let cached = &mut table[key.place as usize];
-    if cached.generation != key.turn {
-        *cached = CachedText { generation: key.turn, ..CachedText::default() };
+    let cached = &mut table[key.slot as usize];
+    if cached.generation != key.generation {
+        *cached = CachedText { generation: key.generation, ..CachedText::default() };
     }
     cached
 }
 
 /// Counts one more task with the text; returns the decayed count.
-pub(crate) fn count_task(table: &mut Vec<CachedText>, key: Key, now: Duration, time_constant: f64) -> f64 {
+pub(crate) fn count_task(
+    table: &mut Vec<CachedText>,
+    key: CacheKey,
+    now: Duration,
+    time_constant: f64,
+) -> f64 {
     let cached = entry_of(table, key);
     cached.recent_tasks.add(now, time_constant, 1.0);
     cached.recent_tasks.level
@@ -306,7 +311,7 @@
 
 pub(crate) fn record_cached(
     table: &mut Vec<CachedText>,
-    key: Option<Key>,
+    key: Option<CacheKey>,
     h: u32,
     tokens: u32,
     now: Duration,
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -5,7 +5,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{
-    Action, Closed, Event, Key, Listed, Order, Outcome, Role, Standing, Term, Terms,
+    Action, CacheKey, Closed, Event, Listed, Order, Outcome, Role, Standing, Term, Terms,
 };
 
 pub const READER: Role = Role::Reader;
@@ -45,7 +45,7 @@
         }
         let listed = |(i, (role, cell)): (usize, &(Role, u32))| Listed {
             host: i as u32,
-            mark: tulipstall::door::mark(&format!("host {i}")),
+            name_hash: tulipstall::door::name_hash(&format!("host {i}")),
             up_for: None,
             cell: *cell,
             zone: *cell,
@@ -82,8 +82,8 @@
     /// An order without a shared text, by a client that waits 4 s.
     pub fn send_order(&mut self, at: u64, task: u32, session: u32, prompt_tokens: u32) -> Vec<Action> {
         // The hash of a name, so that sessions have unrelated hashes.
-        let mark = tulipstall::door::mark(&format!("session {session}"));
-        let session = Some(Key { place: session, turn: 1, mark });
+        let hash = tulipstall::door::name_hash(&format!("session {session}"));
+        let session = Some(CacheKey { slot: session, generation: 1, hash });
         let order = Order {
             task,
             offering: Some(self.offering),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,9 @@
 use harness::*;
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
-use tulipstall::interface::{Action, Closed, Event, Key, Load, Order, Outcome, Ran, Role, Standing, Terms};
+use tulipstall::interface::{
+    Action, CacheKey, Closed, Event, Load, Order, Outcome, Ran, Role, Standing, Terms,
+};
 
 #[test]
 fn each_outcome_has_its_own_next_step() {
@@ -441,7 +443,7 @@
     {
         let mut harness = Harness::new(&[], &[(READER, 0), (WRITER, 0)]);
         harness.send_order(0, 1, 1, 1000);
-        harness.hosts[0].mark += u64::from(renamed);
+        harness.hosts[0].name_hash += u64::from(renamed);
         if early {
             harness.list_host(1, 0, Standing::Running, None);
         }
@@ -472,7 +474,7 @@
         }
         harness.send_order(1, 9, 9, 500);
         assert_eq!(sent_host(&harness.close_shot(20, 9, 0, Read)), Some(2));
-        harness.hosts[2].mark += 1;
+        harness.hosts[2].name_hash += 1;
         if moved {
             (harness.hosts[2].cell, harness.hosts[2].zone) = (1, 1);
         }
@@ -610,9 +612,9 @@
             let mut harness = Harness::new(&[], &[(READER, 0), (READER, 1), (READER, 2), (WRITER, 0)]);
             harness.rules = Rules::new(seed, &Terms::default());
             harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
-            let key = Some(Key { place: 0, turn: 1, mark: text * 31 + 7 });
+            let key = Some(CacheKey { slot: 0, generation: 1, hash: text * 31 + 7 });
             let left = ms(4000);
-            let session = Some(Key { place: 0, turn: 1, mark: 99 + text });
+            let session = Some(CacheKey { slot: 0, generation: 1, hash: 99 + text });
             let order = Order {
                 session,
                 shared: key,
@@ -639,7 +641,7 @@
             .filter_map(|me| {
                 let own = me.to_string();
                 let mut harness = Harness::new(&[("dispatchers", "300"), ("me", own.as_str())], &fleet);
-                let key = |mark: u64| Some(Key { place: 0, turn: 1, mark: mark * 31 + 7 });
+                let key = |hash: u64| Some(CacheKey { slot: 0, generation: 1, hash: hash * 31 + 7 });
                 let (session, shared) = (key(1000 + text * 100 + me), key(text));
                 let (shared_tokens, prompt_tokens, left) = (900, 1000, ms(4000));
                 let order = Order { session, shared, shared_tokens, prompt_tokens, left, ..Order::default() };
@@ -663,7 +665,8 @@
                 let (index, own) = (zone.to_string(), me.to_string());
                 let extra = [("zone_index", index.as_str()), ("dispatchers", "100"), ("me", own.as_str())];
                 let mut harness = Harness::new(&extra, &fleet);
-                let key = |mark: u64| Some(Key { place: mark as u32, turn: 1, mark: mark * 31 + 7 });
+                let key =
+                    |hash: u64| Some(CacheKey { slot: hash as u32, generation: 1, hash: hash * 31 + 7 });
                 for i in 0..60u32 {
                     let order = Order {
                         task: i,
@@ -1140,7 +1143,7 @@
         let fleet =
             [(READER, 0), (READER, 0), (READER, 0), (WRITER, 0), (WRITER, 0), (WRITER, 0), (MIXED, 0)];
         let mut harness = Harness::new(&[], &fleet);
-        let key = |mark: u64| Some(Key { place: 0, turn: 1, mark });
+        let key = |hash: u64| Some(CacheKey { slot: 0, generation: 1, hash });
         let (session, shared, left) = (key(text * 7 + 1), key(text * 31 + 7), ms(4000));
         let order =
             Order { session, shared, shared_tokens: 900, prompt_tokens: 1000, left, ..Order::default() };
