--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -5,8 +5,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 use tulipstall::Rules;
-use tulipstall::door::NameRegistry;
 use tulipstall::interface::{Action, CacheKey, Closed, Event, Listed, Order, Outcome, Standing};
+use tulipstall::names::NameRegistry;
 
 /// One entry of a numbered host list.
 pub struct HostRow {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,11 +14,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tulipstall::Rules;
-use tulipstall::door::NameRegistry;
 use tulipstall::interface::{
     Action, Belief, Closed, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Term,
     Terms,
 };
+use tulipstall::names::NameRegistry;
 use tulipstall_prefix::chain::BLOCK;
 use tulipstall_prefix::{Kept, Prefixes};
 
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -64,7 +64,7 @@
             }
             let seed = value["seed"].as_u64().ok_or("line 1: no seed")?;
             let mut terms = terms_from_json(&value["terms"]).ok_or("line 1: no terms")?;
-            tulipstall::door::NameRegistry::from_terms(&mut terms);
+            tulipstall::names::NameRegistry::from_terms(&mut terms);
             rules = Some(Rules::new(seed, &terms));
             continue;
         };
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -11,8 +11,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tulipstall::door::Names;
 use tulipstall::interface::Standing;
+use tulipstall::names::Interner;
 use tulipstall_core::Input;
 use tulipstall_net::{Link, Pool};
 use tulipstall_platform::age::{Age, WallClock};
@@ -90,7 +90,7 @@
 pub struct Hosts {
     endpoints: Mutex<BTreeMap<String, Arc<Endpoint>>>,
     /// Zones, numbered in the order in which they are first listed.
-    zones: Mutex<Names>,
+    zones: Mutex<Interner>,
     /// The dispatcher's own zone.
     own_zone: Option<u32>,
     rng: Mutex<Pcg32>,
@@ -110,8 +110,8 @@
 
 impl Hosts {
     pub fn new(idle_timeout: Duration, seed: u64, zone: Option<&str>) -> Self {
-        let mut zones = Names::default();
-        let own_zone = zone.and_then(|zone| zones.enter(zone));
+        let mut zones = Interner::default();
+        let own_zone = zone.and_then(|zone| zones.intern(zone));
         let (zones, rng) = (Mutex::new(zones), Mutex::new(Pcg32::seed_from_u64(seed)));
         Hosts { endpoints: Mutex::default(), zones, own_zone, rng, idle_timeout, start_unix: unix_time() }
     }
@@ -199,7 +199,7 @@
                         removed: AtomicBool::new(false),
                         in_flight: AtomicUsize::new(0),
                         // Beyond the limit of zone names all further zones share one number.
-                        zone: zones.enter(&line.site).unwrap_or(u32::MAX),
+                        zone: zones.intern(&line.site).unwrap_or(u32::MAX),
                         suspected: AtomicBool::new(false),
                         streams: Mutex::default(),
                     }),
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -53,7 +53,8 @@
         let config: RawConfig =
             serde_json::from_str(text).map_err(|error| format!("the configuration: {error}"))?;
         // A seed that is not hexadecimal is hashed, so that each dispatcher still gets a seed of its own.
-        let seed = u64::from_str_radix(&config.seed, 16).unwrap_or(tulipstall::door::name_hash(&config.seed));
+        let seed =
+            u64::from_str_radix(&config.seed, 16).unwrap_or(tulipstall::names::name_hash(&config.seed));
         Ok(Start {
             name: config.name,
             listen: config.listen,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -4,7 +4,7 @@
 //! (KV cache) of the prompt (prefill), then a writer fetches that state and streams the answer (decode).
 //!
 //! Points in time are durations since the start of the dispatcher. Hosts, tasks, offerings, customers, zones and kinds
-//! are identified by small indices that [`crate::door`] assigns to their names.
+//! are identified by small indices that [`crate::names`] assigns to their names.
 //!
 //! Events and actions are also the lines of recorded runs, so the names of their fields and variants are a file format.
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,8 @@
 //! which computes the state (KV cache) of the prompt, and a writer, which fetches that state and streams the answer. Servers
 //! are compared by their pending tokens.
 
-pub mod door;
 pub mod interface;
+pub mod names;
 mod release;
 pub mod rules;
 mod state;
--- a/src/door.rs
+++ b/src/names.rs
@@ -20,18 +20,18 @@
 
 /// A table of names whose indices are never reused: zones, kinds, offerings, customers.
 #[derive(Default)]
-pub struct Names {
+pub struct Interner {
     index: FxHashMap<String, u32>,
     names: Vec<String>,
 }
 
-impl Names {
+impl Interner {
     pub fn find(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
     /// The index of the name, which is added if it is new; absent once the table is full.
-    pub fn enter(&mut self, name: &str) -> Option<u32> {
+    pub fn intern(&mut self, name: &str) -> Option<u32> {
         if let Some(found) = self.find(name) {
             return Some(found);
         }
@@ -203,12 +203,12 @@
 #[derive(Default)]
 pub struct NameRegistry {
     pub hosts: HostNames,
-    pub zones: Names,
-    pub kinds: Names,
+    pub zones: Interner,
+    pub kinds: Interner,
     /// Role and memory in tokens of each configured kind.
     kind_properties: Vec<(Role, Option<f64>)>,
-    pub offerings: Names,
-    pub customers: Names,
+    pub offerings: Interner,
+    pub customers: Interner,
     pub tasks: TaskNames,
     pub sessions: KeyNames,
     pub shared_texts: KeyNames,
@@ -228,7 +228,7 @@
             for i in 0..terms.entries(list) {
                 let name =
                     terms.text(&format!("{list}.{i}.name")).or_else(|| terms.text(&format!("{list}.{i}")));
-                names.enter(name.unwrap_or_default());
+                names.intern(name.unwrap_or_default());
             }
         }
         let zone = terms.text("zone").and_then(|zone| registry.zones.find(zone));
@@ -240,7 +240,7 @@
     /// Builds a host list entry from the names of the host, its kind and its zone; `line` has the fields that do not
     /// depend on names. Absent once a table of names is full.
     pub fn resolve(&mut self, host: &str, kind: &str, zone: &str, line: Listed) -> Option<Listed> {
-        let (index, zone) = (self.hosts.intern(host)?, self.zones.enter(zone)?);
+        let (index, zone) = (self.hosts.intern(host)?, self.zones.intern(zone)?);
         if line.standing == Standing::Gone {
             self.hosts.set_departed(index);
         }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -45,7 +45,7 @@
         }
         let listed = |(i, (role, cell)): (usize, &(Role, u32))| Listed {
             host: i as u32,
-            name_hash: tulipstall::door::name_hash(&format!("host {i}")),
+            name_hash: tulipstall::names::name_hash(&format!("host {i}")),
             up_for: None,
             cell: *cell,
             zone: *cell,
@@ -82,7 +82,7 @@
     /// An order without a shared text, by a client that waits 4 s.
     pub fn send_order(&mut self, at: u64, task: u32, session: u32, prompt_tokens: u32) -> Vec<Action> {
         // The hash of a name, so that sessions have unrelated hashes.
-        let hash = tulipstall::door::name_hash(&format!("session {session}"));
+        let hash = tulipstall::names::name_hash(&format!("session {session}"));
         let session = Some(CacheKey { slot: session, generation: 1, hash });
         let order = Order {
             task,
