--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -32,9 +32,9 @@
 
 impl Instance {
     pub fn new(number: u64, seed: u64, config: &Value, clock: u64) -> Self {
-        let mut terms = tulipstall_platform::terms(config);
-        let names = NameRegistry::from_terms(&mut terms);
-        Instance { number, origin: clock, names, rules: Rules::new(seed, &terms), actions: Vec::new() }
+        let mut rules_config = tulipstall_platform::parse_config(config);
+        let names = NameRegistry::from_config(&mut rules_config);
+        Instance { number, origin: clock, names, rules: Rules::new(seed, &rules_config), actions: Vec::new() }
     }
 
     /// Converts the simulator's clock to the time since the start of the instance.
--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -198,7 +198,7 @@
 /// Complete tasks (read, write, delivered) that the core decides per second, without sockets.
 fn decisions() {
     for hosts in [10u32, 100] {
-        let mut core = Core::new(1, settings("bench").terms());
+        let mut core = Core::new(1, settings("bench").to_config());
         let mut out = Vec::new();
         let row = |i: u32| Row {
             host: format!("127.0.0.1:{}", 1000 + i),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tulipstall::Rules;
 use tulipstall::interface::{
-    Action, Belief, Closed, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Term,
-    Terms,
+    Action, Belief, Closed, Config, ConfigValue, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason,
+    Role, Standing,
 };
 use tulipstall::names::NameRegistry;
 use tulipstall_prefix::chain::BLOCK;
@@ -312,14 +312,14 @@
 }
 
 impl Core {
-    pub fn new(seed: u64, mut terms: Terms) -> Self {
-        let names = NameRegistry::from_terms(&mut terms);
-        let pace = |i: usize| terms.number(&format!("service.token_pace_us.{i}")).unwrap_or(50_000.0) / 1e6;
-        let offerings = terms.entries("offerings").max(1);
+    pub fn new(seed: u64, mut config: Config) -> Self {
+        let names = NameRegistry::from_config(&mut config);
+        let pace = |i: usize| config.number(&format!("service.token_pace_us.{i}")).unwrap_or(50_000.0) / 1e6;
+        let offerings = config.list_len("offerings").max(1);
         Core {
             token_pace_s: (0..offerings).map(pace).collect(),
             answer_lengths: vec![AnswerLengths::default(); offerings],
-            rules: Rules::new(seed, &terms),
+            rules: Rules::new(seed, &config),
             names,
             entries: Vec::new(),
             free_slots: Vec::new(),
@@ -360,9 +360,9 @@
     }
 
     /// Like [`Core::new`], and passes every event and its actions to a recorder.
-    pub fn recorded(seed: u64, terms: Terms, mut recorder: Box<dyn Recorder>) -> Self {
-        recorder.start(seed, &terms);
-        let mut core = Core::new(seed, terms);
+    pub fn recorded(seed: u64, config: Config, mut recorder: Box<dyn Recorder>) -> Self {
+        recorder.start(seed, &config);
+        let mut core = Core::new(seed, config);
         core.recorder = Some(recorder);
         core
     }
@@ -783,27 +783,27 @@
 }
 
 /// The configuration as a JSON object, for records.
-fn terms_as_json(terms: &Terms) -> serde_json::Value {
-    let value = |term: &Term| match term {
-        Term::Flag(flag) => serde_json::json!(flag),
-        Term::Number(number) => serde_json::json!(number),
-        Term::Text(text) => serde_json::json!(text),
+fn config_as_json(config: &Config) -> serde_json::Value {
+    let as_json = |value: &ConfigValue| match value {
+        ConfigValue::Flag(flag) => serde_json::json!(flag),
+        ConfigValue::Number(number) => serde_json::json!(number),
+        ConfigValue::Text(text) => serde_json::json!(text),
     };
-    terms.0.iter().map(|(name, term)| (name.clone(), value(term))).collect()
+    config.0.iter().map(|(name, value)| (name.clone(), as_json(value))).collect()
 }
 
-fn terms_from_json(json: &serde_json::Value) -> Option<Terms> {
-    let mut terms = Terms::default();
+fn config_from_json(json: &serde_json::Value) -> Option<Config> {
+    let mut config = Config::default();
     for (name, value) in json.as_object()? {
-        let term = match value {
-            serde_json::Value::Bool(flag) => Term::Flag(*flag),
-            serde_json::Value::Number(number) => Term::Number(number.as_f64()?),
-            serde_json::Value::String(text) => Term::Text(text.clone()),
+        let value = match value {
+            serde_json::Value::Bool(flag) => ConfigValue::Flag(*flag),
+            serde_json::Value::Number(number) => ConfigValue::Number(number.as_f64()?),
+            serde_json::Value::String(text) => ConfigValue::Text(text.clone()),
             _ => return None,
         };
-        terms.0.insert(name.clone(), term);
+        config.0.insert(name.clone(), value);
     }
-    Some(terms)
+    Some(config)
 }
 
 #[cfg(test)]
@@ -819,7 +819,7 @@
         let ends: [Ends; 2] = [bounce, break_off];
         for first in ends {
             for second in ends {
-                let (mut core, mut out) = (Core::new(1, Terms::default()), Vec::new());
+                let (mut core, mut out) = (Core::new(1, Config::default()), Vec::new());
                 let task = core.enter();
                 core.apply_action(Duration::ZERO, first(task.slot), &mut out);
                 assert_eq!(out.len(), 1, "{out:?}");
@@ -830,7 +830,7 @@
         }
         // No final answer after the client has disconnected.
         for end in ends {
-            let (mut core, mut out) = (Core::new(1, Terms::default()), Vec::new());
+            let (mut core, mut out) = (Core::new(1, Config::default()), Vec::new());
             let task = core.enter();
             core.on(Duration::ZERO, Input::Gone { task }, &mut out);
             core.apply_action(Duration::ZERO, end(task.slot), &mut out);
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,16 +1,16 @@
 //! Records of events and their actions, one JSON line for each event, and their exact replay.
 
-use crate::{terms_as_json, terms_from_json};
+use crate::{config_as_json, config_from_json};
 use serde_json::{Value, json};
 use std::io::BufRead;
 use std::time::Duration;
 use tulipstall::Rules;
-use tulipstall::interface::{Action, Event, Terms};
+use tulipstall::interface::{Action, Config, Event};
 
 /// Receives every event with the actions that it caused, in order.
 pub trait Recorder: Send {
     /// Called once, before the first event.
-    fn start(&mut self, seed: u64, terms: &Terms);
+    fn start(&mut self, seed: u64, config: &Config);
     fn event(&mut self, now: Duration, event: &Event, actions: &[Action]);
 }
 
@@ -21,8 +21,10 @@
 pub struct Lines<W: FnMut(String) + Send>(pub W);
 
 impl<W: FnMut(String) + Send> Recorder for Lines<W> {
-    fn start(&mut self, seed: u64, terms: &Terms) {
-        (self.0)(json!({"record": FORMAT_VERSION, "seed": seed, "terms": terms_as_json(terms)}).to_string());
+    fn start(&mut self, seed: u64, config: &Config) {
+        (self.0)(
+            json!({"record": FORMAT_VERSION, "seed": seed, "terms": config_as_json(config)}).to_string(),
+        );
     }
 
     fn event(&mut self, now: Duration, event: &Event, actions: &[Action]) {
@@ -63,9 +65,9 @@
                 return Err(format!("line 1: no record of version {FORMAT_VERSION}"));
             }
             let seed = value["seed"].as_u64().ok_or("line 1: no seed")?;
-            let mut terms = terms_from_json(&value["terms"]).ok_or("line 1: no terms")?;
-            tulipstall::names::NameRegistry::from_terms(&mut terms);
-            rules = Some(Rules::new(seed, &terms));
+            let mut config = config_from_json(&value["terms"]).ok_or("line 1: no terms")?;
+            tulipstall::names::NameRegistry::from_config(&mut config);
+            rules = Some(Rules::new(seed, &config));
             continue;
         };
         let now = value["now"].as_u64().ok_or_else(|| format!("line {number}: no time"))?;
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -3,15 +3,15 @@
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tulipstall::interface::{Outcome, Ran, Standing, Term, Terms};
+use tulipstall::interface::{Config, ConfigValue, Outcome, Ran, Standing};
 use tulipstall_core::{Ask, Core, End, Errand, Input, Lines, Output, Row, TaskId, replay};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn terms(effect: &str) -> Terms {
-    let mut terms = Terms::default();
+fn config(effect: &str) -> Config {
+    let mut config = Config::default();
     let numbers = [
         ("offerings.0.agreed_time_us", 1e6),
         ("service.token_pace_us.0", 50_000.0),
@@ -27,10 +27,12 @@
         ("service.role_by_kind.0", "read"),
         ("service.role_by_kind.1", "write"),
     ];
-    terms.0.extend(numbers.map(|(name, value)| (name.to_owned(), Term::Number(value))));
-    terms.0.extend(texts.map(|(name, value)| (name.to_owned(), Term::Text(value.to_owned()))));
-    terms.0.extend(["allowed.cancel", "allowed.come_back"].map(|name| (name.to_owned(), Term::Flag(true))));
-    terms
+    config.0.extend(numbers.map(|(name, value)| (name.to_owned(), ConfigValue::Number(value))));
+    config.0.extend(texts.map(|(name, value)| (name.to_owned(), ConfigValue::Text(value.to_owned()))));
+    config.0.extend(
+        ["allowed.cancel", "allowed.come_back"].map(|name| (name.to_owned(), ConfigValue::Flag(true))),
+    );
+    config
 }
 
 fn row(host: &str, kind: &str, standing: Standing) -> Row {
@@ -46,7 +48,7 @@
 
 impl Harness {
     fn new(effect: &str) -> Harness {
-        let mut harness = Harness { core: Core::new(3, terms(effect)), now: ms(0), out: Vec::new() };
+        let mut harness = Harness { core: Core::new(3, config(effect)), now: ms(0), out: Vec::new() };
         let rows = vec![
             row("r1", "prefill", Standing::Running),
             row("w1", "decode", Standing::Running),
@@ -309,7 +311,7 @@
     let sink = lines.clone();
     let recorder = Lines(move |line| sink.lock().expect("an unpoisoned lock").push(line));
     let mut harness = Harness::new("replayable");
-    harness.core = Core::recorded(17, terms("replayable"), Box::new(recorder));
+    harness.core = Core::recorded(17, config("replayable"), Box::new(recorder));
     let rows =
         (0..6).map(|i| row(&format!("h{i}"), ["prefill", "decode"][i % 2], Standing::Running)).collect();
     harness.on(Input::Listed { whole: true, rows });
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -71,11 +71,11 @@
     messages: Receiver<OwnerMessage>,
     record_path: Option<PathBuf>,
 ) -> io::Result<()> {
-    let terms = shared.settings.terms();
+    let config = shared.settings.to_config();
     let seed = shared.settings.seed.unwrap_or(shared.run_id);
     let mut core = match record_path {
-        Some(path) => Core::recorded(seed, terms, Box::new(start_recording(path)?)),
-        None => Core::new(seed, terms),
+        Some(path) => Core::recorded(seed, config, Box::new(start_recording(path)?)),
+        None => Core::new(seed, config),
     };
     core.set_prefix(match shared.settings.prefixes.by {
         PrefixBy::Content => Prefix::Content(Box::new(Prefixes::new(shared.settings.prefixes.bytes))),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -134,18 +134,18 @@
         static COROUTINES: Once = Once::new();
         COROUTINES.call_once(|| tulipstall_net::set_up(1, COROUTINE_STACK_BYTES));
         let (sender, receiver) = may::sync::mpsc::channel();
-        let span = |name: &str, default: Duration| start.terms.span(name).unwrap_or(default);
+        let span = |name: &str, default: Duration| start.config.duration(name).unwrap_or(default);
         // Half of the time after which hosts close idle connections: beyond that a request could cross the
         // close.
         let idle_timeout = span("allowed.keepalive_us", Duration::from_secs(10)) / 2;
-        let catalog = Catalog::new(&start.terms);
+        let catalog = Catalog::new(&start.config);
         // An attempt of a request may run for as long as its client would have waited.
         let id_retention = catalog.max_deadline().min(MAX_ID_RETENTION);
         let shared = Arc::new(Shared {
             catalog,
             start: Instant::now(),
             owner_queue: OwnerQueue { sender, free_slots: Arc::new(Semphore::new(OWNER_QUEUE_CAPACITY)) },
-            hosts: Hosts::new(idle_timeout, start.seed, start.terms.text("zone")),
+            hosts: Hosts::new(idle_timeout, start.seed, start.config.text("zone")),
             socket_budget: SocketBudget::new(start.limits.sockets),
             connect_timeout: span("allowed.connect_timeout_us", Duration::from_millis(250)),
             release_time: span("service.release_us", Duration::from_secs(1)),
@@ -153,7 +153,7 @@
             rejecting: AtomicBool::new(false),
             accepting: AtomicBool::new(true),
             max_retry_after: start
-                .terms
+                .config
                 .flag("allowed.come_back")
                 .then(|| span("allowed.max_come_back_us", Duration::ZERO)),
             in_hand: AtomicUsize::new(0),
@@ -165,7 +165,7 @@
             registry: Mutex::new((start.discovery, None)),
             list_received: AtomicBool::new(false),
         });
-        let core = Core::new(start.seed, start.terms.clone());
+        let core = Core::new(start.seed, start.config.clone());
         let owner = owner::start(shared.clone(), receiver, core).map_err(to_text)?;
         let listener = Arc::new(Listener::bind(start.listen).map_err(to_text)?);
         let address = listener.local_addr().map_err(to_text)?;
@@ -173,9 +173,9 @@
             shared.hosts.apply(&shared, known, true);
         }
         let known_seq = start.last_list.as_ref().map(|list| list.seq);
-        registry::start(shared.clone(), RegistryTimeouts::from_terms(&start.terms), known_seq);
+        registry::start(shared.clone(), RegistryTimeouts::from_config(&start.config), known_seq);
         front::start(shared.clone(), listener.clone());
-        let zone = start.terms.text("zone").unwrap_or_default();
+        let zone = start.config.text("zone").unwrap_or_default();
         tracing::info!(name = start.name, %address, sockets = start.limits.sockets, zone, "listening");
         Ok(Node { shared, listener, address, owner: Mutex::new(Some(owner)) })
     }
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 use std::time::Duration;
-use tulipstall::interface::Terms;
+use tulipstall::interface::Config;
 use tulipstall_core::Ask;
 use tulipstall_http1::Head;
 
@@ -55,15 +55,17 @@
 }
 
 impl Catalog {
-    pub fn new(terms: &Terms) -> Self {
+    pub fn new(config: &Config) -> Self {
         let name =
-            |list: &str, i: usize| terms.text(&format!("{list}.{i}.name")).unwrap_or_default().to_owned();
+            |list: &str, i: usize| config.text(&format!("{list}.{i}.name")).unwrap_or_default().to_owned();
         let deadline = |i: usize| {
-            terms.span(&format!("offerings.{i}.hard_stop_us")).unwrap_or(Duration::from_secs(3600))
+            config.duration(&format!("offerings.{i}.hard_stop_us")).unwrap_or(Duration::from_secs(3600))
         };
         Catalog {
-            offerings: (0..terms.entries("offerings")).map(|i| (name("offerings", i), deadline(i))).collect(),
-            customers: (0..terms.entries("customers")).map(|i| name("customers", i)).collect(),
+            offerings: (0..config.list_len("offerings"))
+                .map(|i| (name("offerings", i), deadline(i)))
+                .collect(),
+            customers: (0..config.list_len("customers")).map(|i| name("customers", i)).collect(),
         }
     }
 }
--- a/crates/platform/src/terms.rs
+++ b/crates/platform/src/config.rs
@@ -2,41 +2,41 @@
 //! files, into the dotted names that the dispatcher uses. Values are not interpreted here.
 
 use serde_json::Value;
-use tulipstall::interface::{Term, Terms};
+use tulipstall::interface::{Config, ConfigValue};
 
 /// Flattens the start object into dotted names; lists become `name.0`, `name.1`, …
-pub fn terms(start: &Value) -> Terms {
-    let mut terms = Terms::default();
-    flatten(String::new(), start, &mut terms);
-    terms
+pub fn parse_config(start: &Value) -> Config {
+    let mut config = Config::default();
+    flatten(String::new(), start, &mut config);
+    config
 }
 
-fn flatten(name: String, value: &Value, terms: &mut Terms) {
+fn flatten(name: String, value: &Value, config: &mut Config) {
     let child = |child_name: &str| {
         if name.is_empty() { child_name.to_owned() } else { format!("{name}.{child_name}") }
     };
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                flatten(child(&internal_name(key)), value, terms);
+                flatten(child(&internal_name(key)), value, config);
             }
         }
         Value::Array(items) => {
             for (i, item) in items.iter().enumerate() {
-                flatten(child(&i.to_string()), item, terms);
+                flatten(child(&i.to_string()), item, config);
             }
         }
         Value::Bool(flag) => {
-            terms.0.insert(name, Term::Flag(*flag));
+            config.0.insert(name, ConfigValue::Flag(*flag));
         }
         Value::Number(number) => {
-            terms.0.insert(name, Term::Number(number.as_f64().unwrap_or(0.0)));
+            config.0.insert(name, ConfigValue::Number(number.as_f64().unwrap_or(0.0)));
         }
         Value::String(text) => {
             // Only effects are translated: names belong to the customers and may contain any word.
             let is_effect = name.ends_with(".effect");
             let text = if is_effect { internal_effect(text) } else { text };
-            terms.0.insert(name, Term::Text(text.to_owned()));
+            config.0.insert(name, ConfigValue::Text(text.to_owned()));
         }
         Value::Null => {}
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod age;
 pub mod call;
+mod config;
 pub mod host;
 pub mod ids;
 pub mod registry;
@@ -11,7 +12,6 @@
 pub mod reuse;
 pub mod socket_budget;
 pub mod start;
-mod terms;
 pub mod timeouts;
 
-pub use terms::terms;
+pub use config::parse_config;
--- a/crates/platform/src/registry.rs
+++ b/crates/platform/src/registry.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipstall::interface::{Standing, Terms};
+use tulipstall::interface::{Config, Standing};
 use tulipstall_core::Row;
 
 /// Path of the list.
@@ -47,9 +47,9 @@
     /// registry is back; what it then has counts as known to the dispatcher at once. So it is asked again
     /// well within the time for which a draining host may still be used. In on-request mode each request is
     /// expensive and may take long.
-    pub fn from_terms(terms: &Terms) -> RegistryTimeouts {
+    pub fn from_config(config: &Config) -> RegistryTimeouts {
         let ms = Duration::from_millis;
-        if terms.text("registry_mode") == Some("on_request") {
+        if config.text("registry_mode") == Some("on_request") {
             // A watch that falls silent at once and a silent successor leave time for a third request, which
             // returns the changes at once.
             return RegistryTimeouts {
@@ -64,7 +64,7 @@
         }
         // Two fifths and one fifth of the grace: the rest is for a busy dispatcher to process the list. The
         // lower bounds are the time of round trips.
-        let grace = terms.span("rules.drain_grace_us").unwrap_or(ms(250));
+        let grace = config.duration("rules.drain_grace_us").unwrap_or(ms(250));
         let answer_start = (grace * 2 / 5).clamp(ms(20), ms(400));
         let retry_pause = (grace / 5).clamp(ms(10), ms(100));
         let (watch_wait, watch_slack, answer_rest) = (ms(1000), ms(500), ms(500));
--- a/crates/platform/src/registry/tests.rs
+++ b/crates/platform/src/registry/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use tulipstall::interface::Term;
+use tulipstall::interface::ConfigValue;
 
 /// A request sent just before the registry is back stays unanswered: the next try has to come within the
 /// grace.
@@ -13,10 +13,10 @@
         (Some("pushed"), Some(0.0), false),
         (Some("on_request"), Some(250_000.0), false),
     ] {
-        let mut terms = Terms::default();
-        mode.map(|mode| terms.0.insert("registry_mode".into(), Term::Text(mode.into())));
-        grace_us.map(|us| terms.0.insert("rules.drain_grace_us".into(), Term::Number(us)));
-        let timeouts = RegistryTimeouts::from_terms(&terms);
+        let mut config = Config::default();
+        mode.map(|mode| config.0.insert("registry_mode".into(), ConfigValue::Text(mode.into())));
+        grace_us.map(|us| config.0.insert("rules.drain_grace_us".into(), ConfigValue::Number(us)));
+        let timeouts = RegistryTimeouts::from_config(&config);
         let grace = Duration::from_micros(grace_us.unwrap_or(250_000.0) as u64);
         assert_eq!(
             (timeouts.answer_start + timeouts.retry_pause) * 10 <= grace * 7,
@@ -41,10 +41,10 @@
     for (mode, grace_us) in
         [("pushed", 50_000.0), ("pushed", 250_000.0), ("pushed", 2e6), ("on_request", 250_000.0)]
     {
-        let mut terms = Terms::default();
-        terms.0.insert("registry_mode".into(), Term::Text(mode.into()));
-        terms.0.insert("rules.drain_grace_us".into(), Term::Number(grace_us));
-        let timeouts = RegistryTimeouts::from_terms(&terms);
+        let mut config = Config::default();
+        config.0.insert("registry_mode".into(), ConfigValue::Text(mode.into()));
+        config.0.insert("rules.drain_grace_us".into(), ConfigValue::Number(grace_us));
+        let timeouts = RegistryTimeouts::from_config(&config);
         let request_time = timeouts.retry_pause + timeouts.answer_start;
         // A new watch that is not answered; changes to it are returned like the answer to a request without a
         // wait.
@@ -97,9 +97,9 @@
 fn an_overloaded_registry_is_asked_less_often() {
     let ms = Duration::from_millis;
     for (mode, constant) in [("pushed", true), ("on_request", false)] {
-        let mut terms = Terms::default();
-        terms.0.insert("registry_mode".into(), Term::Text(mode.into()));
-        let timeouts = RegistryTimeouts::from_terms(&terms);
+        let mut config = Config::default();
+        config.0.insert("registry_mode".into(), ConfigValue::Text(mode.into()));
+        let timeouts = RegistryTimeouts::from_config(&config);
         let pauses: Vec<Duration> =
             (0..12).map(|times| timeouts.pause_after_rejections(times, 0.5)).collect();
         let waits: Vec<Duration> = (0..12).map(|times| timeouts.answer_start_after_timeouts(times)).collect();
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -3,7 +3,7 @@
 use crate::registry::{self, List};
 use serde::Deserialize;
 use std::net::SocketAddr;
-use tulipstall::interface::Terms;
+use tulipstall::interface::Config;
 
 /// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -24,7 +24,7 @@
     /// The last host list that this dispatcher had; it may be out of date.
     pub last_list: Option<List>,
     /// The remaining settings as dotted names.
-    pub terms: Terms,
+    pub config: Config,
 }
 
 #[derive(Deserialize)]
@@ -64,7 +64,7 @@
             limits: Limits { sockets: config.limits.sockets.unwrap_or(1024) },
             // A cached list that cannot be read is ignored.
             last_list: config.known.and_then(|known| registry::parse_value(&known).ok()),
-            terms: crate::terms(&config.settings),
+            config: crate::parse_config(&config.settings),
         })
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! Settings of a dispatcher: JSON with a published schema. [`check`] reports every error at once with its
-//! JSON pointer; [`Settings::terms`] converts the settings to the flat map that the decision core takes at
+//! JSON pointer; [`Settings::to_config`] converts the settings to the flat map that the decision core takes at
 //! start.
 
 mod check;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use tulipstall::interface::{Term, Terms};
+use tulipstall::interface::{Config, ConfigValue};
 
 /// Settings of one dispatcher.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
@@ -430,37 +430,37 @@
     }
 
     /// The settings as the flat map that the decision core takes at start.
-    pub fn terms(&self) -> Terms {
-        let mut terms = Terms::default();
-        let mut put = |name: String, term: Term| {
-            terms.0.insert(name, term);
+    pub fn to_config(&self) -> Config {
+        let mut config = Config::default();
+        let mut put = |name: String, value: ConfigValue| {
+            config.0.insert(name, value);
         };
-        let micros = |ms: f64| Term::Number(ms * 1000.0);
-        put("dispatchers".into(), Term::Number(f64::from(self.dispatchers)));
-        put("me".into(), Term::Number(f64::from(self.me)));
-        put("zone".into(), Term::Text(self.zone.clone()));
+        let micros = |ms: f64| ConfigValue::Number(ms * 1000.0);
+        put("dispatchers".into(), ConfigValue::Number(f64::from(self.dispatchers)));
+        put("me".into(), ConfigValue::Number(f64::from(self.me)));
+        put("zone".into(), ConfigValue::Text(self.zone.clone()));
         for (i, zone) in self.zones.iter().enumerate() {
-            put(format!("zones.{i}"), Term::Text(zone.clone()));
+            put(format!("zones.{i}"), ConfigValue::Text(zone.clone()));
         }
         for (i, offering) in self.offerings.iter().enumerate() {
             let path = |field: &str| format!("offerings.{i}.{field}");
-            put(path("name"), Term::Text(offering.name.clone()));
+            put(path("name"), ConfigValue::Text(offering.name.clone()));
             put(path("agreed_time_us"), micros(offering.agreed_time_ms as f64));
             put(path("hard_stop_us"), micros(offering.hard_stop_ms as f64));
             put(path("window_us"), micros(offering.window_ms as f64));
-            put(path("gain"), Term::Number(offering.gain));
+            put(path("gain"), ConfigValue::Number(offering.gain));
             let effect = match offering.effect {
                 Effect::Replayable => "replayable",
                 Effect::Referenced => "referenced",
                 Effect::SingleUse => "single-use",
             };
-            put(path("effect"), Term::Text(effect.to_owned()));
+            put(path("effect"), ConfigValue::Text(effect.to_owned()));
             let group = match offering.group {
                 Group::All => "all",
                 Group::Zone => "zone",
                 Group::Cell => "cell",
             };
-            put(path("group"), Term::Text(group.to_owned()));
+            put(path("group"), ConfigValue::Text(group.to_owned()));
             put(
                 format!("service.agreed_time_us_per_1000_prompt_tokens.{i}"),
                 micros(offering.agreed_time_ms_per_1000_prompt_tokens),
@@ -468,18 +468,18 @@
             put(format!("service.token_pace_us.{i}"), micros(offering.token_pace_ms));
         }
         for (i, customer) in self.customers.iter().enumerate() {
-            put(format!("customers.{i}.name"), Term::Text(customer.name.clone()));
+            put(format!("customers.{i}.name"), ConfigValue::Text(customer.name.clone()));
         }
         for (i, kind) in self.kinds.iter().enumerate() {
-            put(format!("kinds.{i}"), Term::Text(kind.name.clone()));
+            put(format!("kinds.{i}"), ConfigValue::Text(kind.name.clone()));
             let role = match kind.role {
                 KindRole::Read => "read",
                 KindRole::Write => "write",
                 KindRole::Both => "both",
             };
-            put(format!("service.role_by_kind.{i}"), Term::Text(role.to_owned()));
+            put(format!("service.role_by_kind.{i}"), ConfigValue::Text(role.to_owned()));
             if let Some(tokens) = kind.memory_tokens {
-                put(format!("service.kind_memory_tokens.{i}"), Term::Number(tokens as f64));
+                put(format!("service.kind_memory_tokens.{i}"), ConfigValue::Number(tokens as f64));
             }
         }
         for (i, field) in self.loads.iter().enumerate() {
@@ -488,21 +488,21 @@
                 LoadMeaning::ThousandsToRead => "x1",
                 LoadMeaning::Other => "other",
             };
-            put(format!("report.fields.{i}"), Term::Text(meaning.to_owned()));
+            put(format!("report.fields.{i}"), ConfigValue::Text(meaning.to_owned()));
         }
         let rules = &self.rules;
         put("rules.warm_up_us".into(), micros(rules.warm_up_ms as f64));
-        put("rules.cold_from".into(), Term::Number(rules.cold_from));
-        put("rules.fall_multiple".into(), Term::Number(rules.fall_multiple));
+        put("rules.cold_from".into(), ConfigValue::Number(rules.cold_from));
+        put("rules.fall_multiple".into(), ConfigValue::Number(rules.fall_multiple));
         put("rules.fall_us".into(), micros(rules.fall_ms as f64));
         put("rules.drain_grace_us".into(), micros(rules.drain_grace_ms as f64));
         put("service.release_us".into(), micros(rules.release_ms as f64));
-        put("service.writers_read".into(), Term::Flag(self.allowed.writers_read));
-        put("allowed.max_shots".into(), Term::Number(f64::from(self.allowed.max_shots)));
-        put("allowed.cancel".into(), Term::Flag(self.allowed.cancel));
-        put("allowed.come_back".into(), Term::Flag(self.allowed.come_back));
+        put("service.writers_read".into(), ConfigValue::Flag(self.allowed.writers_read));
+        put("allowed.max_shots".into(), ConfigValue::Number(f64::from(self.allowed.max_shots)));
+        put("allowed.cancel".into(), ConfigValue::Flag(self.allowed.cancel));
+        put("allowed.come_back".into(), ConfigValue::Flag(self.allowed.come_back));
         put("allowed.max_come_back_us".into(), micros(self.allowed.max_come_back_ms as f64));
-        terms
+        config
     }
 }
 
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -80,11 +80,11 @@
 #[test]
 fn terms_have_the_names_that_the_decision_core_reads() {
     let settings = check(&valid_settings().to_string()).expect("valid settings");
-    let terms = settings.terms();
-    assert_eq!(terms.number("offerings.0.agreed_time_us"), Some(1e6));
-    assert_eq!(terms.text("offerings.0.effect"), Some("replayable"));
-    assert_eq!(terms.text("service.role_by_kind.0"), Some("read"));
-    assert_eq!(terms.span("rules.drain_grace_us"), Some(std::time::Duration::from_millis(250)));
+    let config = settings.to_config();
+    assert_eq!(config.number("offerings.0.agreed_time_us"), Some(1e6));
+    assert_eq!(config.text("offerings.0.effect"), Some("replayable"));
+    assert_eq!(config.text("service.role_by_kind.0"), Some("read"));
+    assert_eq!(config.duration("rules.drain_grace_us"), Some(std::time::Duration::from_millis(250)));
 }
 
 #[test]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -14,7 +14,7 @@
 
 /// One configuration value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Term {
+pub enum ConfigValue {
     Flag(bool),
     Number(f64),
     Text(String),
@@ -22,13 +22,13 @@
 
 /// The configuration of the decision logic, fixed at start: dotted names (`offerings.0.gain`) mapped to values.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Terms(pub BTreeMap<String, Term>);
+pub struct Config(pub BTreeMap<String, ConfigValue>);
 
-impl Terms {
+impl Config {
     /// The value under this name if it is a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         match self.0.get(name) {
-            Some(Term::Number(value)) if value.is_finite() => Some(*value),
+            Some(ConfigValue::Number(value)) if value.is_finite() => Some(*value),
             _ => None,
         }
     }
@@ -36,24 +36,24 @@
     /// The value under this name if it is a text.
     pub fn text(&self, name: &str) -> Option<&str> {
         match self.0.get(name) {
-            Some(Term::Text(value)) => Some(value),
+            Some(ConfigValue::Text(value)) => Some(value),
             _ => None,
         }
     }
 
     /// Whether the value under this name is `true`; a missing name counts as `false`.
     pub fn flag(&self, name: &str) -> bool {
-        matches!(self.0.get(name), Some(Term::Flag(true)))
+        matches!(self.0.get(name), Some(ConfigValue::Flag(true)))
     }
 
     /// The value under this name, given in microseconds, as a duration. Absent if it is negative.
-    pub fn span(&self, name: &str) -> Option<Duration> {
+    pub fn duration(&self, name: &str) -> Option<Duration> {
         self.number(name).filter(|us| *us >= 0.0).map(|us| Duration::from_micros(us as u64))
     }
 
     /// The number of consecutive entries `list.0`, `list.1`, … of a list. An entry is a value of its own
     /// (`zones.0`) or a group of values (`offerings.0.gain`).
-    pub fn entries(&self, list: &str) -> usize {
+    pub fn list_len(&self, list: &str) -> usize {
         let found = |i: usize| {
             let exact = format!("{list}.{i}");
             let below = format!("{exact}.");
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,7 +1,7 @@
 //! Interning of names: maps the names of hosts, tasks, sessions and so on to the small indices that the decisions work
 //! with. Each dispatcher has one registry. Every table is bounded; that of tasks by the tasks in progress.
 
-use crate::interface::{CacheKey, Listed, Role, Standing, Term, Terms};
+use crate::interface::{CacheKey, Config, ConfigValue, Listed, Role, Standing};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use slab::Slab;
 use std::collections::VecDeque;
@@ -217,7 +217,7 @@
 impl NameRegistry {
     /// Adds the configured names, each list in its order, and writes the index of the dispatcher's own zone into the
     /// configuration as `zone_index` (-1 if there is none).
-    pub fn from_terms(terms: &mut Terms) -> Self {
+    pub fn from_config(config: &mut Config) -> Self {
         let mut registry = NameRegistry::default();
         for (list, names) in [
             ("zones", &mut registry.zones),
@@ -225,15 +225,16 @@
             ("offerings", &mut registry.offerings),
             ("customers", &mut registry.customers),
         ] {
-            for i in 0..terms.entries(list) {
+            for i in 0..config.list_len(list) {
                 let name =
-                    terms.text(&format!("{list}.{i}.name")).or_else(|| terms.text(&format!("{list}.{i}")));
+                    config.text(&format!("{list}.{i}.name")).or_else(|| config.text(&format!("{list}.{i}")));
                 names.intern(name.unwrap_or_default());
             }
         }
-        let zone = terms.text("zone").and_then(|zone| registry.zones.find(zone));
-        terms.0.insert("zone_index".to_owned(), Term::Number(zone.map_or(-1.0, f64::from)));
-        registry.kind_properties = (0..terms.entries("kinds")).map(|i| kind_properties(terms, i)).collect();
+        let zone = config.text("zone").and_then(|zone| registry.zones.find(zone));
+        config.0.insert("zone_index".to_owned(), ConfigValue::Number(zone.map_or(-1.0, f64::from)));
+        registry.kind_properties =
+            (0..config.list_len("kinds")).map(|i| kind_properties(config, i)).collect();
         registry
     }
 
@@ -255,14 +256,14 @@
     }
 }
 
-fn kind_properties(terms: &Terms, i: usize) -> (Role, Option<f64>) {
-    let role = match terms.text(&format!("service.role_by_kind.{i}")) {
+fn kind_properties(config: &Config, i: usize) -> (Role, Option<f64>) {
+    let role = match config.text(&format!("service.role_by_kind.{i}")) {
         Some("read") => Role::Reader,
         Some("write") => Role::Writer,
         Some("both") => Role::Mixed,
         _ => Role::Unknown,
     };
-    (role, terms.number(&format!("service.kind_memory_tokens.{i}")))
+    (role, config.number(&format!("service.kind_memory_tokens.{i}")))
 }
 
 #[cfg(test)]
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,7 @@
 //! All decisions of the dispatcher: which host gets which shot, when a shot is cancelled or a held state
 //! released, and when a task is rejected or aborted.
 //!
-//! `Rules::new` takes a seed and the terms given at start. `Rules::on` takes one event at a time and appends
+//! `Rules::new` takes a seed and the configuration given at start. `Rules::on` takes one event at a time and appends
 //! the actions that it calls for; both are plain data of `src/interface.rs`. Nothing here reads a clock, and
 //! equal events give equal actions. An event updates what a task needs next (`plan`); only `reconcile`
 //! compares that with its shots in flight, held state and timer, and emits the difference.
@@ -12,7 +12,7 @@
 //! started and is ramped up by a send budget. `t` is the index of a task, `h` that of a host.
 
 use crate::interface::{
-    Action, CacheKey, Closed, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing, Terms,
+    Action, CacheKey, Closed, Config, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing,
 };
 use crate::release::release_after;
 pub use crate::state::Rules;
@@ -59,11 +59,11 @@
 }
 
 impl Rules {
-    /// The rules of one dispatcher with the terms given at start. The seed makes its random choices
+    /// The rules of one dispatcher with the configuration given at start. The seed makes its random choices
     /// repeatable.
-    pub fn new(seed: u64, terms: &Terms) -> Self {
-        let dispatchers = terms.number("dispatchers").unwrap_or(1.0).max(1.0);
-        let offerings = (0..terms.entries("offerings").max(1)).map(|i| Self::offering(terms, i));
+    pub fn new(seed: u64, config: &Config) -> Self {
+        let dispatchers = config.number("dispatchers").unwrap_or(1.0).max(1.0);
+        let offerings = (0..config.list_len("offerings").max(1)).map(|i| Self::offering(config, i));
         let mut offerings: Vec<Offering> = offerings.collect();
         // Offerings that bring less come after the one that brings most.
         let highest_gain = offerings.iter().map(|offering| offering.gain).fold(0.001, f64::max);
@@ -72,7 +72,7 @@
             random: Pcg32(seed ^ 0x9e37_79b9_7f4a_7c15).advanced(),
             offerings,
             dispatchers,
-            own_zone: terms.number("zone_index").map_or(u32::MAX, |zone| zone as u32),
+            own_zone: config.number("zone_index").map_or(u32::MAX, |zone| zone as u32),
             // Until prompts have been seen: the order of magnitude at which reading a prompt takes noticeable
             // time.
             long_prompt_tokens: 2000.0,
@@ -80,26 +80,26 @@
             // As if two prompts had been read at the usual speed of engines, so that a single full host does
             // not make every task late.
             role_read_times: [DecayingRatio { numerator: 0.4, denominator: 4000.0 }; 4],
-            terms: terms.clone(),
+            config: config.clone(),
             ..Rules::default()
         }
     }
 
-    fn offering(terms: &Terms, i: usize) -> Offering {
-        let term_name = |field: &str| format!("offerings.{i}.{field}");
-        let service_number = |list: &str| terms.number(&format!("service.{list}.{i}"));
+    fn offering(config: &Config, i: usize) -> Offering {
+        let full_name = |field: &str| format!("offerings.{i}.{field}");
+        let service_number = |list: &str| config.number(&format!("service.{list}.{i}"));
         Offering {
-            agreed_seconds: terms.number(&term_name("agreed_time_us")).unwrap_or(1e6).clamp(0.0, 1e12) / 1e6,
+            agreed_seconds: config.number(&full_name("agreed_time_us")).unwrap_or(1e6).clamp(0.0, 1e12) / 1e6,
             agreed_seconds_per_token: service_number("agreed_time_us_per_1000_prompt_tokens")
                 .unwrap_or(0.0)
                 .clamp(0.0, 1e9)
                 / 1e9,
             output_seconds_per_token: service_number("token_pace_us").unwrap_or(50_000.0).max(1.0) / 1e6,
-            gain: terms.number(&term_name("gain")).unwrap_or(1.0),
+            gain: config.number(&full_name("gain")).unwrap_or(1.0),
             relative_gain: 1.0,
-            effect: terms.text(&term_name("effect")).unwrap_or_default().to_owned(),
-            group: terms.text(&term_name("group")).unwrap_or("cell").to_owned(),
-            repeat_window: terms.span(&term_name("window_us")).unwrap_or_default(),
+            effect: config.text(&full_name("effect")).unwrap_or_default().to_owned(),
+            group: config.text(&full_name("group")).unwrap_or("cell").to_owned(),
+            repeat_window: config.duration(&full_name("window_us")).unwrap_or_default(),
         }
     }
 
@@ -146,8 +146,8 @@
         if whole {
             self.hosts.iter_mut().for_each(|host| host.listed.standing = Standing::Gone);
         }
-        let warm_up = self.terms.span("rules.warm_up_us").unwrap_or_default();
-        let budget_offset = self.terms.number("me").unwrap_or(0.0).max(0.0) / self.dispatchers;
+        let warm_up = self.config.duration("rules.warm_up_us").unwrap_or_default();
+        let budget_offset = self.config.number("me").unwrap_or(0.0).max(0.0) / self.dispatchers;
         for line in listed {
             let index = line.host as usize;
             self.hosts.resize(self.hosts.len().max(index + 1), Host::default());
@@ -278,7 +278,7 @@
         task.ended |= closed.finished;
         // Once nothing is held any more, the task waits for a new start as long as a state may be held
         // without an attempt.
-        task.wait_until = now + release_after(self.terms.span("service.release_us").unwrap_or_default());
+        task.wait_until = now + release_after(self.config.duration("service.release_us").unwrap_or_default());
         let Some(shot) = task.shots.get_mut(closed.shot as usize).filter(|shot| shot.in_flight) else {
             return t;
         };
@@ -408,7 +408,7 @@
             if self.uncached_ratio.denominator > 0.0 { self.uncached_ratio.value() } else { 1.0 };
         let fields = ["report.fields.0", "report.fields.1", "report.fields.2", "report.fields.3"];
         for (field, value) in fields.into_iter().zip(load.values).take(load.count) {
-            match self.terms.text(field) {
+            match self.config.text(field) {
                 Some("x0") => host.reported_memory_share = value.clamp(0.0, 1.0),
                 Some("x1") => {
                     host.reported_to_read = Some((self.now, value.clamp(0.0, 1e6) * 1000.0 * uncached_share))
@@ -548,18 +548,18 @@
         if now >= host.warm_at {
             return f64::INFINITY;
         }
-        let warm_up = self.terms.number("rules.warm_up_us").unwrap_or(1e6) / 1e6;
+        let warm_up = self.config.number("rules.warm_up_us").unwrap_or(1e6) / 1e6;
         let age = 1.0 - (host.warm_at - now).as_secs_f64() / warm_up.max(0.001);
         let (peer_rate, task_rate) = self.role_rates[host.listed.role as usize];
-        let cold_from = self.terms.number("rules.cold_from").unwrap_or(0.1);
+        let cold_from = self.config.number("rules.cold_from").unwrap_or(0.1);
         // Rises evenly, but never past four fifths of the load that a host which stays cold throughout would
         // stand.
-        let share_limit = 0.8 * cold_from * self.terms.number("rules.fall_multiple").unwrap_or(1.0);
+        let share_limit = 0.8 * cold_from * self.config.number("rules.fall_multiple").unwrap_or(1.0);
         let send_share = (cold_from + (1.0 - cold_from) * age.max(0.0)).min(share_limit);
         let host = &mut self.hosts[h as usize];
         let filled = host.send_budget.level
             + (now - host.send_budget.updated_at).as_secs_f64() * peer_rate * send_share;
-        let half_fall = self.terms.number("rules.fall_us").unwrap_or(0.0) / 2e6;
+        let half_fall = self.config.number("rules.fall_us").unwrap_or(0.0) / 2e6;
         let lapse_level = peer_rate * send_share * half_fall.max(2.0 / task_rate.max(0.01));
         let fraction = filled.fract();
         let level = if filled >= 1.0 && fraction < lapse_level { 1.0 + fraction } else { fraction };
@@ -686,7 +686,7 @@
     fn update_pending_counts(&mut self, t: usize, phase: Phase) -> f64 {
         let (prompt, output_tokens) =
             (f64::from(self.tasks[t].order.prompt_tokens), self.tasks[t].output_tokens);
-        let writers_read = self.terms.flag("service.writers_read");
+        let writers_read = self.config.flag("service.writers_read");
         let (mut reports, mut recent_sum, mut readers) = ([DecayingRatio::default(); 4], 0.0, 0.0);
         for host in self.hosts.iter().filter(|host| host.is_running()) {
             if let Some(tokens) = host.recent_report(self.now) {
@@ -936,7 +936,7 @@
 
     /// How long a state may be held while no attempt is at a server.
     fn hold_limit(&self) -> Duration {
-        self.terms.span("service.release_us").unwrap_or_default()
+        self.config.duration("service.release_us").unwrap_or_default()
     }
 
     /// Plans the release of a held state. It is released in time even if a shot is in flight from which
@@ -964,7 +964,7 @@
 
     /// Plans the next shot, a cancellation, a wait or the end of the task.
     fn plan_attempts(&mut self, t: usize) {
-        let (now, cancel) = (self.now, self.terms.flag("allowed.cancel"));
+        let (now, cancel) = (self.now, self.config.flag("allowed.cancel"));
         let hold_limit = self.hold_limit();
         let Some(task) = self.tasks.get_mut(t).filter(|task| task.live) else { return };
         task.desired = DesiredState::default();
@@ -980,7 +980,7 @@
         }
         let (held_by, is_first, deadline) = (task.held.reader(), task.shots.is_empty(), task.deadline);
         let agreed_seconds = (task.target_at - task.arrived_at).as_secs_f64();
-        let max_shots = self.terms.number("allowed.max_shots").unwrap_or(1.0) as usize;
+        let max_shots = self.config.number("allowed.max_shots").unwrap_or(1.0) as usize;
         let offering = &self.offerings[task.offering];
         let repeat_barred = !task.shots_that_may_have_run().all(|shot| offering.may_repeat(shot, None, now));
         let too_late = now + Duration::from_secs_f64(0.5 * self.first_token_seconds[0]) >= deadline;
@@ -1058,7 +1058,10 @@
         let may_not_repeat = shot.phase != Phase::Read && !offering.may_repeat(&shot, None, now);
         let desired = &mut self.tasks[t].desired;
         desired.keep_held = true;
-        if shot.started_at.is_some() || shot.cancelled || may_not_repeat || !self.terms.flag("allowed.cancel")
+        if shot.started_at.is_some()
+            || shot.cancelled
+            || may_not_repeat
+            || !self.config.flag("allowed.cancel")
         {
             return;
         }
@@ -1098,11 +1101,11 @@
         if let Some(retryable) = task.desired.end_with_bounce.take() {
             task.ended = true;
             // A tenth to three tenths of the agreed time: spreads the repeats, and they may still be in time.
-            let max_delay = self.terms.span("allowed.max_come_back_us").unwrap_or_default();
+            let max_delay = self.config.duration("allowed.max_come_back_us").unwrap_or_default();
             let delay_seconds =
                 self.offerings[task.offering].agreed_seconds * (0.1 + 0.2 * self.random.next_unit());
             let delay = max_delay.min(Duration::from_secs_f64(delay_seconds));
-            let come_back = self.terms.flag("allowed.come_back").then_some(delay);
+            let come_back = self.config.flag("allowed.come_back").then_some(delay);
             let rejection = Action::Bounce { task: task_id, come_back };
             out.push(if retryable { rejection } else { Action::BreakOff { task: task_id } });
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! The state that the rules keep, and plain helpers on it. The decisions are in [`crate::rules`].
 
-use crate::interface::{Belief, CacheKey, Listed, Order, Standing, Terms};
+use crate::interface::{Belief, CacheKey, Config, Listed, Order, Standing};
 use crate::release::HeldState;
 use std::time::Duration;
 
@@ -346,7 +346,7 @@
     /// A note about a host to be emitted with the current event.
     pub(crate) pending_note: Option<(u32, &'static str)>,
     pub(crate) random: Pcg32,
-    pub(crate) terms: Terms,
+    pub(crate) config: Config,
     pub(crate) offerings: Vec<Offering>,
     /// How many dispatchers share the hosts.
     pub(crate) dispatchers: f64,
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -5,7 +5,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{
-    Action, CacheKey, Closed, Event, Listed, Order, Outcome, Role, Standing, Term, Terms,
+    Action, CacheKey, Closed, Config, ConfigValue, Event, Listed, Order, Outcome, Role, Standing,
 };
 
 pub const READER: Role = Role::Reader;
@@ -24,7 +24,7 @@
 }
 
 impl Harness {
-    /// `extra` overrides terms; `hosts` gives each host's role and cell.
+    /// `extra` overrides configuration values; `hosts` gives each host's role and cell.
     pub fn new(extra: &[(&str, &str)], hosts: &[(Role, u32)]) -> Harness {
         let base = "dispatchers=2 offerings.0.agreed_time_us=1500000 offerings.0.gain=1 \
             offerings.0.effect=replayable \
@@ -33,15 +33,15 @@
             allowed.come_back=true allowed.max_come_back_us=1000000 \
             rules.cold_from=0.3 rules.warm_up_us=10000000 \
             report.fields.0=x1 rules.fall_multiple=2.5";
-        let mut terms = Terms::default();
+        let mut config = Config::default();
         let base = base.split_whitespace().filter_map(|pair| pair.split_once('='));
         for (name, value) in base.chain(extra.iter().copied()) {
             let value = match (value, value.parse()) {
-                ("true" | "false", _) => Term::Flag(value == "true"),
-                (_, Ok(number)) => Term::Number(number),
-                _ => Term::Text(value.to_owned()),
+                ("true" | "false", _) => ConfigValue::Flag(value == "true"),
+                (_, Ok(number)) => ConfigValue::Number(number),
+                _ => ConfigValue::Text(value.to_owned()),
             };
-            terms.0.insert(name.to_owned(), value);
+            config.0.insert(name.to_owned(), value);
         }
         let listed = |(i, (role, cell)): (usize, &(Role, u32))| Listed {
             host: i as u32,
@@ -55,7 +55,7 @@
             standing: Standing::Running,
         };
         let hosts: Vec<Listed> = hosts.iter().enumerate().map(listed).collect();
-        let mut harness = Harness { rules: Rules::new(7, &terms), hosts, offering: 0 };
+        let mut harness = Harness { rules: Rules::new(7, &config), hosts, offering: 0 };
         harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
         harness
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{
-    Action, CacheKey, Closed, Event, Load, Order, Outcome, Ran, Role, Standing, Terms,
+    Action, CacheKey, Closed, Config, Event, Load, Order, Outcome, Ran, Role, Standing,
 };
 
 #[test]
@@ -610,7 +610,7 @@
         let mut readers = Vec::new();
         for seed in [3, 4, 5] {
             let mut harness = Harness::new(&[], &[(READER, 0), (READER, 1), (READER, 2), (WRITER, 0)]);
-            harness.rules = Rules::new(seed, &Terms::default());
+            harness.rules = Rules::new(seed, &Config::default());
             harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
             let key = Some(CacheKey { slot: 0, generation: 1, hash: text * 31 + 7 });
             let left = ms(4000);
