--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 use tulipstall::Rules;
-use tulipstall::interface::{Action, CacheKey, Closed, Event, Listed, Order, Outcome, Standing};
+use tulipstall::interface::{Action, CacheKey, Closed, Event, HostStatus, ListedHost, Order, Outcome};
 use tulipstall::names::NameRegistry;
 
 /// One entry of a numbered host list.
@@ -17,7 +17,7 @@
     pub zone: String,
     pub weight: f64,
     pub kind: String,
-    pub standing: Standing,
+    pub status: HostStatus,
 }
 
 /// One simulated dispatcher.
@@ -141,13 +141,13 @@
     pub fn list(&mut self, clock: u64, whole: bool, rows: &[HostRow], reply: &mut String) {
         let mut listed = Vec::with_capacity(rows.len());
         for row in rows {
-            let up_for = clock.saturating_sub(row.online_since);
-            let line = Listed {
-                up_for: (row.online_since > 0).then(|| Duration::from_micros(up_for)),
+            let uptime = clock.saturating_sub(row.online_since);
+            let line = ListedHost {
+                uptime: (row.online_since > 0).then(|| Duration::from_micros(uptime)),
                 cell: row.cell,
                 weight: row.weight,
-                standing: row.standing,
-                ..Listed::default()
+                status: row.status,
+                ..ListedHost::default()
             };
             listed.extend(self.names.resolve(&row.host, &row.kind, &row.zone, line));
         }
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -39,7 +39,7 @@
                 zone: fields.next().unwrap_or_default().to_owned(),
                 weight: fields.number_or("the capacity hint", 1.0)?,
                 kind: fields.next().unwrap_or_default().to_owned(),
-                standing: fields.standing()?,
+                status: fields.status()?,
             };
             self.lists.entry(list).or_default().push(row);
             self.incomplete_list = Some((list, missing - 1));
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use std::time::Duration;
-use tulipstall::interface::{Load, Outcome, Standing};
+use tulipstall::interface::{HostStatus, LoadReport, Outcome};
 
 /// A message that says what is wrong with the input.
 pub type Error = String;
@@ -83,9 +83,9 @@
     }
 
     /// A load report: numbers separated by commas.
-    pub fn load(&mut self) -> Result<Option<Load>, Error> {
+    pub fn load(&mut self) -> Result<Option<LoadReport>, Error> {
         let Some(field) = self.next() else { return Ok(None) };
-        let mut load = Load::default();
+        let mut load = LoadReport::default();
         for value in field.split(',').take(load.values.len()) {
             load.values[load.count] = match value.parse::<f64>() {
                 Ok(number) if number.is_finite() => number,
@@ -121,11 +121,11 @@
         Ok((outcome, note))
     }
 
-    pub fn standing(&mut self) -> Result<Standing, Error> {
+    pub fn status(&mut self) -> Result<HostStatus, Error> {
         match self.require("the host status")? {
-            "Running" => Ok(Standing::Running),
-            "Stopping" => Ok(Standing::Draining),
-            "Deleted" => Ok(Standing::Gone),
+            "Running" => Ok(HostStatus::Running),
+            "Stopping" => Ok(HostStatus::Draining),
+            "Deleted" => Ok(HostStatus::Gone),
             _ => Err(format!("unknown host status in: {}", self.line)),
         }
     }
--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, thread};
 use tulipstall::interface::Outcome;
-use tulipstall_core::{Ask, Core, End, Input, Output, Row};
+use tulipstall_core::{Ask, Core, End, HostRow, Input, Output};
 use tulipstall_net::{Pool, spawn};
 use tulipstall_rig::day::{get, post};
 use tulipstall_rig::fleet::{Fleet, settings};
@@ -200,14 +200,14 @@
     for hosts in [10u32, 100] {
         let mut core = Core::new(1, settings("bench").to_config());
         let mut out = Vec::new();
-        let row = |i: u32| Row {
+        let row = |i: u32| HostRow {
             host: format!("127.0.0.1:{}", 1000 + i),
             kind: ["prefill", "decode"][(i % 2) as usize].to_owned(),
             zone: String::new(),
             cell: i / 5,
             weight: 1.0,
-            up_for: None,
-            standing: tulipstall::interface::Standing::Running,
+            uptime: None,
+            status: tulipstall::interface::HostStatus::Running,
         };
         core.on(Duration::ZERO, Input::Listed { whole: true, rows: (0..hosts).map(row).collect() }, &mut out);
         let began = Instant::now();
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tulipstall::Rules;
 use tulipstall::interface::{
-    Action, Belief, Closed, Config, ConfigValue, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason,
-    Role, Standing,
+    Action, Closed, Config, ConfigValue, Event, HostEstimate, HostStatus, ListedHost, LoadReport, Order,
+    Outcome, Ran, ReleaseReason, Role,
 };
 use tulipstall::names::NameRegistry;
 use tulipstall_prefix::chain::BLOCK;
@@ -31,9 +31,9 @@
     pub generation: u32,
 }
 
-/// One entry of a host list, with names instead of indices (see [`Listed`]).
+/// One entry of a host list, with names instead of indices (see [`ListedHost`]).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct HostRow {
     pub host: String,
     pub kind: String,
     pub zone: String,
@@ -41,8 +41,8 @@
     /// Relative capacity among hosts of its kind.
     pub weight: f64,
     /// Uptime of the server process; absent if it has been up for long or is not known.
-    pub up_for: Option<Duration>,
-    pub standing: Standing,
+    pub uptime: Option<Duration>,
+    pub status: HostStatus,
 }
 
 /// The request of a client, with names instead of indices (see [`Order`]).
@@ -80,7 +80,7 @@
     pub prompt_tokens: u32,
     /// Tokens of the complete answer, if it was delivered.
     pub answer_tokens: u32,
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
     /// The reader's name for the state (KV cache of the prompt) that it holds now, or may hold if the read did not report
     /// success.
     pub state: Option<String>,
@@ -105,7 +105,7 @@
     Listed {
         /// The list is complete: hosts that are not on it are gone. Otherwise it holds changes only.
         whole: bool,
-        rows: Vec<Row>,
+        rows: Vec<HostRow>,
     },
     /// The answer of a shot has begun.
     Began { task: TaskId, shot: u32 },
@@ -377,8 +377,9 @@
     }
 
     /// The decisions' current estimate of each host that is running or has shots in progress, by its index.
-    pub fn beliefs(&self, now: Duration) -> impl Iterator<Item = (u32, Belief)> {
-        (0..self.host_roles.len() as u32).filter_map(move |host| Some((host, self.rules.belief(host, now)?)))
+    pub fn host_estimates(&self, now: Duration) -> impl Iterator<Item = (u32, HostEstimate)> {
+        (0..self.host_roles.len() as u32)
+            .filter_map(move |host| Some((host, self.rules.host_estimate(host, now)?)))
     }
 
     pub fn host_name(&self, host: u32) -> Option<&str> {
@@ -541,18 +542,18 @@
         self.shot_closed(now, task, shot, Outcome::TimedOut, End::default(), out);
     }
 
-    fn update_hosts(&mut self, now: Duration, whole: bool, rows: Vec<Row>, out: &mut Vec<Output>) {
+    fn update_hosts(&mut self, now: Duration, whole: bool, rows: Vec<HostRow>, out: &mut Vec<Output>) {
         if whole {
             self.process_starts.iter_mut().for_each(|(_, listed)| *listed = false);
         }
         let mut listed = Vec::with_capacity(rows.len());
         for row in &rows {
-            let line = Listed {
-                up_for: row.up_for,
+            let line = ListedHost {
+                uptime: row.uptime,
                 cell: row.cell,
                 weight: row.weight,
-                standing: row.standing,
-                ..Listed::default()
+                status: row.status,
+                ..ListedHost::default()
             };
             let Some(line) = self.names.resolve(&row.host, &row.kind, &row.zone, line) else { continue };
             self.host_roles.resize(self.host_roles.len().max(line.host as usize + 1), Role::Unknown);
@@ -567,15 +568,15 @@
     }
 
     /// Clears the cache index of a host whose process has restarted, or may have restarted while the host was gone.
-    fn update_process_start(&mut self, now: Duration, line: &Listed) {
+    fn update_process_start(&mut self, now: Duration, line: &ListedHost) {
         let host = line.host as usize;
         self.process_starts.resize(self.process_starts.len().max(host + 1), (Duration::ZERO, false));
         let (start, was_listed) = self.process_starts[host];
-        let started = line.up_for.map_or(Duration::ZERO, |up| now.saturating_sub(up));
+        let started = line.uptime.map_or(Duration::ZERO, |up| now.saturating_sub(up));
         // Clocks may differ by up to 250 ms between two reports of one start. With a smaller tolerance, the index would be
         // cleared for no reason.
         let restarted = started > start + Duration::from_millis(250);
-        let present = line.standing != Standing::Gone;
+        let present = line.status != HostStatus::Gone;
         self.process_starts[host] = (if restarted { started } else { start }, present);
         let Prefix::Content(prefixes) = &mut self.prefixes else { return };
         let max_blocks = line.memory_tokens.map(|tokens| (tokens / f64::from(BLOCK)) as u32);
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -3,8 +3,8 @@
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tulipstall::interface::{Config, ConfigValue, Outcome, Ran, Standing};
-use tulipstall_core::{Ask, Core, End, Errand, Input, Lines, Output, Row, TaskId, replay};
+use tulipstall::interface::{Config, ConfigValue, HostStatus, Outcome, Ran};
+use tulipstall_core::{Ask, Core, End, Errand, HostRow, Input, Lines, Output, TaskId, replay};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -35,9 +35,9 @@
     config
 }
 
-fn row(host: &str, kind: &str, standing: Standing) -> Row {
+fn row(host: &str, kind: &str, status: HostStatus) -> HostRow {
     let (host, kind, zone) = (host.to_owned(), kind.to_owned(), String::new());
-    Row { host, kind, zone, cell: 0, weight: 1.0, up_for: None, standing }
+    HostRow { host, kind, zone, cell: 0, weight: 1.0, uptime: None, status }
 }
 
 struct Harness {
@@ -50,9 +50,9 @@
     fn new(effect: &str) -> Harness {
         let mut harness = Harness { core: Core::new(3, config(effect)), now: ms(0), out: Vec::new() };
         let rows = vec![
-            row("r1", "prefill", Standing::Running),
-            row("w1", "decode", Standing::Running),
-            row("w2", "decode", Standing::Running),
+            row("r1", "prefill", HostStatus::Running),
+            row("w1", "decode", HostStatus::Running),
+            row("w2", "decode", HostStatus::Running),
         ];
         harness.on(Input::Listed { whole: true, rows });
         harness
@@ -167,7 +167,7 @@
     // The host is removed from the list and the shot is cancelled.
     let out = harness.on(Input::Listed {
         whole: false,
-        rows: vec![row("w1", "decode", Standing::Gone), row("w2", "decode", Standing::Gone)],
+        rows: vec![row("w1", "decode", HostStatus::Gone), row("w2", "decode", HostStatus::Gone)],
     });
     assert!(out.contains(&Output::Cancel { task, shot: 1 }), "{out:?}");
     // Before the shot has ended, its answer begins: the client gets that answer, and no other shot follows.
@@ -313,7 +313,7 @@
     let mut harness = Harness::new("replayable");
     harness.core = Core::recorded(17, config("replayable"), Box::new(recorder));
     let rows =
-        (0..6).map(|i| row(&format!("h{i}"), ["prefill", "decode"][i % 2], Standing::Running)).collect();
+        (0..6).map(|i| row(&format!("h{i}"), ["prefill", "decode"][i % 2], HostStatus::Running)).collect();
     harness.on(Input::Listed { whole: true, rows });
     for round in 0..50 {
         let (task, out) = harness.start_task();
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -11,8 +11,8 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use std::{fs, io, thread};
-use tulipstall::interface::Standing;
-use tulipstall_core::{Input, Row};
+use tulipstall::interface::HostStatus;
+use tulipstall_core::{HostRow, Input};
 use tulipstall_net::{Link, Pool};
 use tulipstall_settings::{HostLine, HostList, HostStanding, Settings};
 
@@ -72,7 +72,7 @@
         Some(StreamGuard(self, key))
     }
 
-    /// Takes over the host's standing from a list.
+    /// Takes over the host's status from a list.
     fn set_standing(&self, standing: HostStanding) {
         self.closed.store(standing != HostStanding::Running, Ordering::Release);
         self.gone.store(standing == HostStanding::Gone, Ordering::Release);
@@ -204,18 +204,18 @@
 }
 
 /// A line of the list, as an input for the decision core.
-fn core_row(line: &HostLine) -> Row {
-    Row {
+fn core_row(line: &HostLine) -> HostRow {
+    HostRow {
         host: line.host.to_string(),
         kind: line.kind.clone(),
         zone: line.zone.clone(),
         cell: line.cell,
         weight: line.weight,
-        up_for: line.started_unix_ms.map(|at| Duration::from_millis(now_unix_ms().saturating_sub(at))),
-        standing: match line.standing {
-            HostStanding::Running => Standing::Running,
-            HostStanding::Draining => Standing::Draining,
-            HostStanding::Gone => Standing::Gone,
+        uptime: line.started_unix_ms.map(|at| Duration::from_millis(now_unix_ms().saturating_sub(at))),
+        status: match line.standing {
+            HostStanding::Running => HostStatus::Running,
+            HostStanding::Draining => HostStatus::Draining,
+            HostStanding::Gone => HostStatus::Gone,
         },
     }
 }
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use tulipstall::interface::{Load, Outcome};
+use tulipstall::interface::{LoadReport, Outcome};
 use tulipstall_core::End;
 use tulipstall_engine::{self as engine, Piece, Usage};
 use tulipstall_http1::body::{LAST_CHUNK, write_chunk};
@@ -241,7 +241,7 @@
 
 impl Relay {
     /// The report of a shot's end, with the token counts.
-    fn end(&self, load: Option<Load>) -> End {
+    fn end(&self, load: Option<LoadReport>) -> End {
         let (kept_tokens, answer_tokens) = (self.counted.cached_tokens, self.counted.output_tokens);
         End { kept_tokens, prompt_tokens: self.counted.prompt_tokens, answer_tokens, load, ..End::default() }
     }
--- a/crates/dispatcher/src/shot.rs
+++ b/crates/dispatcher/src/shot.rs
@@ -8,7 +8,7 @@
 use crate::task::{ShotControl, Task, time_left};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipstall::interface::{Load, Outcome};
+use tulipstall::interface::{LoadReport, Outcome};
 use tulipstall_core::{End, Errand, Held, Input, TaskId};
 use tulipstall_engine::{self as engine, Piece, Stage, State, Usage};
 use tulipstall_http1::{Limits, sse};
@@ -44,7 +44,7 @@
     pub usage: Usage,
     /// Cached tokens as the reader counted them, if the writer fetched the reader's state.
     pub reader_cached_tokens: Option<u32>,
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// Guard that reports the end of a shot to the decision core, as broken if it is dropped without a report. Without this,
@@ -198,7 +198,7 @@
     }
 
     /// Waits for the first piece with text or a finish reason.
-    fn first_piece(&self, mut reply: Reply, load: Option<Load>) -> Result<ShotResult, Outcome> {
+    fn first_piece(&self, mut reply: Reply, load: Option<LoadReport>) -> Result<ShotResult, Outcome> {
         let mut events = sse::Reader::new(MAX_EVENT_BYTES);
         let (mut bytes, mut received) = (Vec::new(), Vec::new());
         loop {
@@ -230,7 +230,7 @@
     /// The shot is over.
     Ended(Outcome, End),
     /// The answer streams: load report, connection, event reader, first pieces, and whether the end mark has come.
-    StreamBegun(Option<Load>, Reply, sse::Reader, Vec<Piece>, bool),
+    StreamBegun(Option<LoadReport>, Reply, sse::Reader, Vec<Piece>, bool),
 }
 
 /// The outcome where no readable response arrived: the engine may have run the request.
@@ -243,7 +243,7 @@
 }
 
 /// The result of a read (prefill) request.
-fn parse_read_answer(body: &[u8], load: Option<Load>, host: u32) -> ShotResult {
+fn parse_read_answer(body: &[u8], load: Option<LoadReport>, host: u32) -> ShotResult {
     let piece = std::str::from_utf8(body).ok().and_then(engine::piece).filter(|piece| !piece.error);
     let Some(Piece { state: Some(state), usage, .. }) = piece else {
         return ShotResult::Ended(Outcome::Error, End { load, ..End::default() });
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -4,7 +4,7 @@
 use http::HeaderMap;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
-use tulipstall::interface::{Load, Outcome};
+use tulipstall::interface::{LoadReport, Outcome};
 
 /// Path of completions.
 pub const COMPLETIONS: &str = "/v1/completions";
@@ -230,10 +230,10 @@
 
 /// Parses a load report in the ORCA header (`JSON {…}` or `TEXT name=value, …`): the metrics with the given
 /// names, in the order of the names. Absent if one of them is missing or not finite.
-pub fn load(headers: &HeaderMap, names: &[String]) -> Option<Load> {
+pub fn load(headers: &HeaderMap, names: &[String]) -> Option<LoadReport> {
     let text = headers.get(LOAD_HEADER)?.to_str().ok()?;
     let (format, rest) = text.split_once(' ')?;
-    let mut load = Load { count: names.len().min(4), ..Load::default() };
+    let mut load = LoadReport { count: names.len().min(4), ..LoadReport::default() };
     let metrics = match format {
         "JSON" => Metrics::Json(serde_json::from_str(rest).ok()?),
         "TEXT" => Metrics::Text(rest),
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tulipstall::interface::Standing;
+use tulipstall::interface::HostStatus;
 use tulipstall::names::Interner;
 use tulipstall_core::Input;
 use tulipstall_net::{Link, Pool};
@@ -62,15 +62,15 @@
         StreamEntry(self, lock(&self.streams).insert(link.clone()))
     }
 
-    fn set_standing(&self, standing: Standing) {
-        self.closed.store(standing != Standing::Running, Ordering::Release);
+    fn set_status(&self, status: HostStatus) {
+        self.closed.store(status != HostStatus::Running, Ordering::Release);
         // Before the time limits of its streams are shortened: whoever sets a limit checks this flag again
         // afterwards.
-        self.removed.store(standing == Standing::Gone, Ordering::SeqCst);
-        if standing != Standing::Running {
+        self.removed.store(status == HostStatus::Gone, Ordering::SeqCst);
+        if status != HostStatus::Running {
             self.pool.clear();
         }
-        if standing == Standing::Gone {
+        if status == HostStatus::Gone {
             let by = Instant::now() + timeouts::silence_timeout(false, true);
             lock(&self.streams).iter().for_each(|(_, link)| link.read_by_at_most(by));
         }
@@ -177,7 +177,7 @@
                 endpoints.retain(|name, endpoint| {
                     let stays = listed_names.contains(name.as_str());
                     if !stays {
-                        endpoint.set_standing(Standing::Gone);
+                        endpoint.set_status(HostStatus::Gone);
                     }
                     stays
                 });
@@ -204,16 +204,16 @@
                         streams: Mutex::default(),
                     }),
                 };
-                endpoint.set_standing(line.standing());
+                endpoint.set_status(line.status());
                 rows.push(line.to_row(endpoint.age.map(|age| age.at(now))));
-                let before = if line.standing() == Standing::Gone {
+                let before = if line.status() == HostStatus::Gone {
                     endpoints.remove(&line.host)
                 } else {
                     endpoints.insert(line.host.clone(), endpoint.clone())
                 };
                 // Another process than before: a request written to the old one's connections would be lost.
                 if let Some(before) = before.filter(|before| !Arc::ptr_eq(before, &endpoint)) {
-                    before.set_standing(Standing::Gone);
+                    before.set_status(HostStatus::Gone);
                 }
             }
         }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
 use std::time::Duration;
-use tulipstall::interface::Belief;
+use tulipstall::interface::HostEstimate;
 use tulipstall_core::{Core, Errand, Input, Output, TaskId};
 use tulipstall_net::spawn;
 
@@ -36,7 +36,7 @@
         tasks: Vec::new(),
         endpoints: Vec::new(),
         outputs: Vec::new(),
-        beliefs_logged_at: Duration::ZERO,
+        estimates_logged_at: Duration::ZERO,
     };
     // A thread: its waits have time-outs, which are not sound in coroutines (docs/coroutines.md).
     std::thread::Builder::new().name("owner".into()).spawn(move || owner.run(&messages))
@@ -55,12 +55,12 @@
     tasks: Vec<Option<InHand>>,
     endpoints: Vec<Option<Arc<Endpoint>>>,
     outputs: Vec<Output>,
-    /// When the beliefs were last logged.
-    beliefs_logged_at: Duration,
+    /// When the host estimates were last logged.
+    estimates_logged_at: Duration,
 }
 
-/// Interval between log lines of the beliefs.
-const BELIEF_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between log lines of the host estimates.
+const ESTIMATE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Owner {
     fn run(&mut self, messages: &Receiver<OwnerMessage>) {
@@ -79,25 +79,32 @@
                 self.carry_out(output);
             }
             self.core.carried_out();
-            self.log_beliefs();
+            self.log_host_estimates();
             self.outputs = outputs;
         }
     }
 
     /// Logs what the decisions believe of each host, next to the attempts that are in flight on its sockets,
     /// if debug lines are enabled.
-    fn log_beliefs(&mut self) {
+    fn log_host_estimates(&mut self) {
         let now = self.shared.now();
-        if now < self.beliefs_logged_at + BELIEF_LOG_INTERVAL || !tracing::enabled!(tracing::Level::DEBUG) {
+        if now < self.estimates_logged_at + ESTIMATE_LOG_INTERVAL || !tracing::enabled!(tracing::Level::DEBUG)
+        {
             return;
         }
-        self.beliefs_logged_at = now;
-        for (host, belief) in self.core.beliefs(now) {
+        self.estimates_logged_at = now;
+        for (host, estimate) in self.core.host_estimates(now) {
             let Some(Some(endpoint)) = self.endpoints.get(host as usize) else { continue };
             let (name, out) = (&endpoint.name, endpoint.in_flight.load(Ordering::Relaxed));
-            let Belief { shots, reading, writing, doubt, slow } = belief;
+            let HostEstimate {
+                shots_in_progress: shots,
+                pending_read_tokens: reading,
+                stream_tokens: writing,
+                suspicion: doubt,
+                slowdown: slow,
+            } = estimate;
             let zone = endpoint.zone;
-            tracing::debug!(host = name, zone, shots, out, reading, writing, doubt, slow, "beliefs");
+            tracing::debug!(host = name, zone, shots, out, reading, writing, doubt, slow, "host estimates");
         }
     }
 
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use tulipstall::interface::Standing;
+use tulipstall::interface::HostStatus;
 use tulipstall_http1::Limits;
 use tulipstall_net::{Fault, Link, Reply, spawn};
 use tulipstall_platform::registry::{
@@ -163,7 +163,7 @@
                 seq = list.seq,
                 "list older than a previous one: only its closed hosts are applied"
             );
-            let closed = |line: &Line| line.standing() != Standing::Running;
+            let closed = |line: &Line| line.status() != HostStatus::Running;
             let hosts = list.hosts.into_iter().filter(closed).collect();
             shared.hosts.apply(shared, &List { hosts, ..list }, false);
             return Err(Fault::Rubbish.into());
--- a/crates/platform/src/registry.rs
+++ b/crates/platform/src/registry.rs
@@ -3,8 +3,8 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
-use tulipstall::interface::{Config, Standing};
-use tulipstall_core::Row;
+use tulipstall::interface::{Config, HostStatus};
+use tulipstall_core::HostRow;
 
 /// Path of the list.
 pub const LIST_PATH: &str = "/registry/instances";
@@ -176,11 +176,11 @@
 }
 
 impl Line {
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> HostStatus {
         match self.health {
-            Health::Active => Standing::Running,
-            Health::Leaving => Standing::Draining,
-            Health::Left => Standing::Gone,
+            Health::Active => HostStatus::Running,
+            Health::Leaving => HostStatus::Draining,
+            Health::Left => HostStatus::Gone,
         }
     }
 
@@ -190,15 +190,15 @@
     }
 
     /// The row for the core, with the age of its process; `None` means long ago.
-    pub fn to_row(&self, up_for: Option<Duration>) -> Row {
-        Row {
+    pub fn to_row(&self, uptime: Option<Duration>) -> HostRow {
+        HostRow {
             host: self.host.clone(),
             kind: self.class.clone(),
             zone: self.site.clone(),
             cell: self.block,
             weight: self.share,
-            up_for,
-            standing: self.standing(),
+            uptime,
+            status: self.status(),
         }
     }
 }
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -552,7 +552,7 @@
     playback.fleet.hosts[host].set_faults(all);
 }
 
-/// A partial list that gives these hosts this standing.
+/// A partial list that gives these hosts this status.
 fn list_changes(playback: &Playback, hosts: &[usize], standing: HostStanding) -> HostList {
     let line = |host: &usize| -> HostLine {
         let host = &playback.fleet.hosts[*host];
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn terms_have_the_names_that_the_decision_core_reads() {
+fn config_has_the_names_that_the_decision_core_reads() {
     let settings = check(&valid_settings().to_string()).expect("valid settings");
     let config = settings.to_config();
     assert_eq!(config.number("offerings.0.agreed_time_us"), Some(1e6));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -82,7 +82,7 @@
 
 /// Availability of a host according to the host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum HostStatus {
     Running,
     /// Finishes what it has and takes no new shots.
     Draining,
@@ -107,13 +107,14 @@
 
 /// One entry of the host list. A host is one model server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     pub host: u32,
     /// Hash of the name, the same in every dispatcher.
     #[serde(rename = "mark")]
     pub name_hash: u64,
     /// Uptime of the server process; absent if it has been up for long or is not known.
-    pub up_for: Option<Duration>,
+    #[serde(rename = "up_for")]
+    pub uptime: Option<Duration>,
     /// The group of servers with fast links between them (a rack) that it belongs to.
     pub cell: u32,
     /// Availability zone.
@@ -124,7 +125,8 @@
     pub role: Role,
     /// Memory of its kind in tokens, from the configuration.
     pub memory_tokens: Option<f64>,
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: HostStatus,
 }
 
 /// How a shot (one attempt of a request at one server) ended.
@@ -173,7 +175,7 @@
 
 /// A load report of a server. The values stand in the order of the configured names (`report.fields.N`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     pub values: [f64; 4],
     /// How many of the values were reported.
     pub count: usize,
@@ -226,7 +228,7 @@
     pub finished: bool,
     /// Prompt tokens that the server found in its prefix cache.
     pub kept_tokens: u32,
-    pub load: Option<Load>,
+    pub load: Option<LoadReport>,
 }
 
 /// One input of the decision logic.
@@ -236,7 +238,7 @@
     Hosts {
         /// The list is complete: hosts that are not on it are gone. Otherwise it holds changes only.
         whole: bool,
-        listed: Vec<Listed>,
+        listed: Vec<ListedHost>,
     },
     /// The host list could not be obtained.
     ListFailed,
@@ -256,7 +258,7 @@
         held: bool,
     },
     /// Result of a probe of a host.
-    Probed { host: u32, answered: bool, load: Option<Load> },
+    Probed { host: u32, answered: bool, load: Option<LoadReport> },
     /// A timer set by [`Action::Timer`] has expired.
     Timer { token: u64 },
     /// The client has closed its connection.
@@ -265,17 +267,17 @@
 
 /// The current estimate of a host's load and health.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Belief {
+pub struct HostEstimate {
     /// Shots of this dispatcher that are in progress there.
-    pub shots: u32,
+    pub shots_in_progress: u32,
     /// Prompt tokens that this dispatcher has sent there and that are not read yet.
-    pub reading: f64,
+    pub pending_read_tokens: f64,
     /// Tokens of this dispatcher's streams there, prompt and answer.
-    pub writing: f64,
+    pub stream_tokens: f64,
     /// Suspicion that the host has failed, from 0 to 1.
-    pub doubt: f64,
+    pub suspicion: f64,
     /// How many times slower than usual for its role it is estimated to be; 1 is usual.
-    pub slow: f64,
+    pub slowdown: f64,
 }
 
 /// Why the states that servers hold for a request are released.
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,7 +1,7 @@
 //! Interning of names: maps the names of hosts, tasks, sessions and so on to the small indices that the decisions work
 //! with. Each dispatcher has one registry. Every table is bounded; that of tasks by the tasks in progress.
 
-use crate::interface::{CacheKey, Config, ConfigValue, Listed, Role, Standing};
+use crate::interface::{CacheKey, Config, ConfigValue, HostStatus, ListedHost, Role};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use slab::Slab;
 use std::collections::VecDeque;
@@ -123,7 +123,7 @@
     }
 
     /// Notes that every host missing from a complete host list has departed.
-    pub fn retain_listed(&mut self, listed: &[Listed]) {
+    pub fn retain_listed(&mut self, listed: &[ListedHost]) {
         let present: FxHashSet<u32> = listed.iter().map(|line| line.host).collect();
         for index in (0..self.slots.len() as u32).filter(|index| !present.contains(index)) {
             self.set_departed(index);
@@ -240,13 +240,13 @@
 
     /// Builds a host list entry from the names of the host, its kind and its zone; `line` has the fields that do not
     /// depend on names. Absent once a table of names is full.
-    pub fn resolve(&mut self, host: &str, kind: &str, zone: &str, line: Listed) -> Option<Listed> {
+    pub fn resolve(&mut self, host: &str, kind: &str, zone: &str, line: ListedHost) -> Option<ListedHost> {
         let (index, zone) = (self.hosts.intern(host)?, self.zones.intern(zone)?);
-        if line.standing == Standing::Gone {
+        if line.status == HostStatus::Gone {
             self.hosts.set_departed(index);
         }
         let (role, memory_tokens) = self.role_and_memory(kind);
-        Some(Listed { host: index, name_hash: name_hash(host), zone, role, memory_tokens, ..line })
+        Some(ListedHost { host: index, name_hash: name_hash(host), zone, role, memory_tokens, ..line })
     }
 
     /// Role and memory in tokens of a kind of host, from the configuration.
@@ -274,7 +274,7 @@
     /// host that is present or has departed recently, and a host that returns in time gets its own slot back.
     #[test]
     fn slots_of_replaced_hosts_are_reused() {
-        let line = |standing| Listed { standing, ..Listed::default() };
+        let line = |status| ListedHost { status, ..ListedHost::default() };
         for whole in [false, true] {
             let mut registry = NameRegistry::default();
             let mut present: VecDeque<(String, u32)> = VecDeque::new();
@@ -282,7 +282,7 @@
             for i in 0..10_000 {
                 let name = format!("h{i}");
                 let host =
-                    registry.resolve(&name, "k", "z", line(Standing::Running)).expect("a free slot").host;
+                    registry.resolve(&name, "k", "z", line(HostStatus::Running)).expect("a free slot").host;
                 assert!(
                     present.iter().all(|(_, other)| *other != host),
                     "{i}: the slot of a present host was reused"
@@ -295,14 +295,14 @@
                 if present.len() > 10 {
                     let (name, host) = present.pop_front().expect("ten hosts");
                     if whole {
-                        let listed: Vec<Listed> = present
+                        let listed: Vec<ListedHost> = present
                             .iter()
-                            .map(|(_, host)| Listed { host: *host, ..Listed::default() })
+                            .map(|(_, host)| ListedHost { host: *host, ..ListedHost::default() })
                             .collect();
                         registry.hosts.retain_listed(&listed);
                     } else {
                         assert_eq!(
-                            registry.resolve(&name, "k", "z", line(Standing::Gone)).map(|l| l.host),
+                            registry.resolve(&name, "k", "z", line(HostStatus::Gone)).map(|l| l.host),
                             Some(host)
                         );
                     }
@@ -310,7 +310,7 @@
                     // One in seven returns before its slot can be reused, and departs again.
                     if i % 7 == 0 {
                         assert_eq!(
-                            registry.resolve(&name, "k", "z", line(Standing::Running)).map(|l| l.host),
+                            registry.resolve(&name, "k", "z", line(HostStatus::Running)).map(|l| l.host),
                             Some(host)
                         );
                         registry.hosts.set_departed(host);
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,8 @@
 //! started and is ramped up by a send budget. `t` is the index of a task, `h` that of a host.
 
 use crate::interface::{
-    Action, CacheKey, Closed, Config, Event, Listed, Load, Order, Outcome, Ran, ReleaseReason, Role, Standing,
+    Action, CacheKey, Closed, Config, Event, HostStatus, ListedHost, LoadReport, Order, Outcome, Ran,
+    ReleaseReason, Role,
 };
 use crate::release::release_after;
 pub use crate::state::Rules;
@@ -140,11 +141,11 @@
     }
 
     /// Applies a list of hosts, whole or in part, and plans all tasks again.
-    fn update_hosts(&mut self, whole: bool, listed: &[Listed], out: &mut Vec<Action>) {
+    fn update_hosts(&mut self, whole: bool, listed: &[ListedHost], out: &mut Vec<Action>) {
         let now = self.now;
         self.update_role_rates();
         if whole {
-            self.hosts.iter_mut().for_each(|host| host.listed.standing = Standing::Gone);
+            self.hosts.iter_mut().for_each(|host| host.listed.status = HostStatus::Gone);
         }
         let warm_up = self.config.duration("rules.warm_up_us").unwrap_or_default();
         let budget_offset = self.config.number("me").unwrap_or(0.0).max(0.0) / self.dispatchers;
@@ -152,12 +153,12 @@
             let index = line.host as usize;
             self.hosts.resize(self.hosts.len().max(index + 1), Host::default());
             let warm_at =
-                line.up_for.filter(|up| *up < warm_up).map_or(Duration::ZERO, |up| now + warm_up - up);
+                line.uptime.filter(|up| *up < warm_up).map_or(Duration::ZERO, |up| now + warm_up - up);
             let host = &mut self.hosts[index];
             // A later start under the same index is a new host, and so is a new name. Only what is still in
             // flight is carried over.
             if host.listed.name_hash != line.name_hash
-                || host.listed == Listed::default()
+                || host.listed == ListedHost::default()
                 || warm_at > host.warm_at
             {
                 *host = Host {
@@ -402,7 +403,7 @@
     /// Applies a load report: tokens to read, or the share of a memory whose size in tokens was given at
     /// start; other fields are ignored. Hosts report whole prompts, but only the part that reads find
     /// uncached causes delay.
-    fn apply_load(&mut self, h: u32, load: &Load) {
+    fn apply_load(&mut self, h: u32, load: &LoadReport) {
         let Some(host) = self.hosts.get_mut(h as usize) else { return };
         let uncached_share =
             if self.uncached_ratio.denominator > 0.0 { self.uncached_ratio.value() } else { 1.0 };
@@ -780,13 +781,13 @@
         // rest from states.
         let write_weight = |role| [0.0, 1.0, 0.75, 0.0][role as usize];
         let read_weight = |role| [1.0, 0.0, 0.0, 0.0][role as usize];
-        let sum = |weight_of: fn(Role) -> f64, selected: &dyn Fn(&Listed) -> bool| -> f64 {
+        let sum = |weight_of: fn(Role) -> f64, selected: &dyn Fn(&ListedHost) -> bool| -> f64 {
             let running = self.hosts.iter().filter(|host| host.is_running() && selected(&host.listed));
             running.map(|host| weight_of(host.listed.role)).sum::<f64>().max(1e-9)
         };
         let (total_reads, total_writes) = (sum(read_weight, &|_| true), sum(write_weight, &|_| true));
         let weigh = |host: &Host| {
-            let same_cell = |other: &Listed| other.cell == host.listed.cell;
+            let same_cell = |other: &ListedHost| other.cell == host.listed.cell;
             let (cell_reads, cell_writes) =
                 (sum(read_weight, &same_cell) / total_reads, sum(write_weight, &same_cell) / total_writes);
             let spare = f64::max(cell_writes - cell_reads, 0.0) * write_weight(host.listed.role)
@@ -1054,7 +1055,7 @@
         let silent = now >= silent_at && host.last_answer_at <= shot.sent_at && peer_answered;
         let overtaken = now >= shot.sent_at + silence_limit
             && host.latest_answered_sent_at > shot.sent_at + silence_limit / 4;
-        let gone = host.listed.standing == Standing::Gone || host.listed.name_hash != shot.listed.name_hash;
+        let gone = host.listed.status == HostStatus::Gone || host.listed.name_hash != shot.listed.name_hash;
         let may_not_repeat = shot.phase != Phase::Read && !offering.may_repeat(&shot, None, now);
         let desired = &mut self.tasks[t].desired;
         desired.keep_held = true;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,6 +1,6 @@
 //! The state that the rules keep, and plain helpers on it. The decisions are in [`crate::rules`].
 
-use crate::interface::{Belief, CacheKey, Config, Listed, Order, Standing};
+use crate::interface::{CacheKey, Config, HostEstimate, HostStatus, ListedHost, Order};
 use crate::release::HeldState;
 use std::time::Duration;
 
@@ -99,7 +99,7 @@
 /// A model server: its line of the list, and what this dispatcher has counted and measured there.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Host {
-    pub(crate) listed: Listed,
+    pub(crate) listed: ListedHost,
     /// When the host is warm at the latest; zero if it was warm when first listed.
     pub(crate) warm_at: Duration,
     /// Tokens of this dispatcher's own prompts that are still to be read there.
@@ -156,7 +156,7 @@
 pub(crate) struct Shot {
     pub(crate) host: u32,
     /// The host as it was listed when the shot was sent: its slot may have a new owner before the shot ends.
-    pub(crate) listed: Listed,
+    pub(crate) listed: ListedHost,
     pub(crate) phase: Phase,
     pub(crate) sent_at: Duration,
     /// Prompt tokens to read, pending until read.
@@ -333,7 +333,7 @@
 
 impl Host {
     pub(crate) fn is_running(&self) -> bool {
-        self.listed.standing == Standing::Running
+        self.listed.status == HostStatus::Running
     }
 }
 
@@ -387,16 +387,16 @@
 }
 
 impl Rules {
-    /// What is believed of a host now, for comparison with what actually passes on the connections.
-    pub fn belief(&self, h: u32, now: Duration) -> Option<Belief> {
+    /// The current estimate of a host, for comparison with the traffic on its connections.
+    pub fn host_estimate(&self, h: u32, now: Duration) -> Option<HostEstimate> {
         let host = self.hosts.get(h as usize).filter(|host| host.is_running() || host.shots_in_flight > 0)?;
-        let (doubt, slow) = (host.suspicion_at(now), self.slowdown(h, Phase::Read));
-        Some(Belief {
-            shots: host.shots_in_flight,
-            reading: host.pending_read_tokens,
-            writing: host.pending_stream_tokens,
-            doubt,
-            slow,
+        let (suspicion, slowdown) = (host.suspicion_at(now), self.slowdown(h, Phase::Read));
+        Some(HostEstimate {
+            shots_in_progress: host.shots_in_flight,
+            pending_read_tokens: host.pending_read_tokens,
+            stream_tokens: host.pending_stream_tokens,
+            suspicion,
+            slowdown,
         })
     }
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -5,7 +5,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{
-    Action, CacheKey, Closed, Config, ConfigValue, Event, Listed, Order, Outcome, Role, Standing,
+    Action, CacheKey, Closed, Config, ConfigValue, Event, HostStatus, ListedHost, Order, Outcome, Role,
 };
 
 pub const READER: Role = Role::Reader;
@@ -19,7 +19,7 @@
 /// A dispatcher's rules under test, its hosts, and the offering of the orders it is sent.
 pub struct Harness {
     pub rules: Rules,
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedHost>,
     pub offering: u32,
 }
 
@@ -43,18 +43,18 @@
             };
             config.0.insert(name.to_owned(), value);
         }
-        let listed = |(i, (role, cell)): (usize, &(Role, u32))| Listed {
+        let listed = |(i, (role, cell)): (usize, &(Role, u32))| ListedHost {
             host: i as u32,
             name_hash: tulipstall::names::name_hash(&format!("host {i}")),
-            up_for: None,
+            uptime: None,
             cell: *cell,
             zone: *cell,
             weight: 1.0,
             role: *role,
             memory_tokens: Some(150_000.0),
-            standing: Standing::Running,
+            status: HostStatus::Running,
         };
-        let hosts: Vec<Listed> = hosts.iter().enumerate().map(listed).collect();
+        let hosts: Vec<ListedHost> = hosts.iter().enumerate().map(listed).collect();
         let mut harness = Harness { rules: Rules::new(7, &config), hosts, offering: 0 };
         harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
         harness
@@ -67,15 +67,15 @@
         out
     }
 
-    /// A list with one host, with this standing and age.
+    /// A list with one host, with this status and age.
     pub fn list_host(
         &mut self,
         at: u64,
         host: u32,
-        standing: Standing,
-        up_for: Option<Duration>,
+        status: HostStatus,
+        uptime: Option<Duration>,
     ) -> Vec<Action> {
-        let line = Listed { standing, up_for, ..self.hosts[host as usize] };
+        let line = ListedHost { status, uptime, ..self.hosts[host as usize] };
         self.on_event(at, Event::Hosts { whole: false, listed: vec![line] })
     }
 
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -5,7 +5,7 @@
 
 use harness::*;
 use tulipstall::interface::Outcome::*;
-use tulipstall::interface::{Event, Standing};
+use tulipstall::interface::{Event, HostStatus};
 
 /// A cold host falls over if it gets this multiple of what it can do, for the fall time.
 const FALL_MULTIPLE: f64 = 2.5;
@@ -68,15 +68,15 @@
             at += -random.next_unit().ln() * 1000.0 / (rate * if burst { case.burst } else { 1.0 });
             let now = at as u64;
             if let Some(list_time) = list_at.filter(|list_at| *list_at <= now) {
-                harness.list_host(list_time, cold, Standing::Running, Some(ms(list_time - host_started)));
+                harness.list_host(list_time, cold, HostStatus::Running, Some(ms(list_time - host_started)));
                 list_at = None;
             }
             if restart_at.is_some_and(|restart_at| restart_at <= now) {
                 (restart_at, restarted_at) = (None, now);
                 harness = Harness::new(&extra, &fleet);
                 let listed = harness.hosts.iter().enumerate().map(|(h, line)| {
-                    let up_for = (h as u32 == cold).then(|| ms(now - host_started));
-                    tulipstall::interface::Listed { up_for, ..*line }
+                    let uptime = (h as u32 == cold).then(|| ms(now - host_started));
+                    tulipstall::interface::ListedHost { uptime, ..*line }
                 });
                 let listed = listed.collect();
                 harness.on_event(0, Event::Hosts { whole: true, listed });
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -4,7 +4,7 @@
 
 use harness::*;
 use tulipstall::interface::Outcome::*;
-use tulipstall::interface::{Action, Event, Outcome, ReleaseReason, Standing};
+use tulipstall::interface::{Action, Event, HostStatus, Outcome, ReleaseReason};
 
 /// Milliseconds after which a release begins while an attempt is unanswered: 0.85 of the hold limit of half a
 /// second.
@@ -164,7 +164,7 @@
         let writer = read_and_send(&mut harness);
         if peer_answers {
             // Another writer answers; this one gets nothing meanwhile.
-            harness.list_host(START_MS + 90, writer, Standing::Draining, None);
+            harness.list_host(START_MS + 90, writer, HostStatus::Draining, None);
             harness.serve_task(START_MS + 100, 200, 200, 1000);
         }
         let cancelled_at = (200..READ_ENDS_MS + begins).find(|at| {
@@ -194,7 +194,7 @@
     harness.send_order(START_MS, REQUEST, 99, 1000);
     assert_eq!(action_letters(&harness.close_shot(START_MS + 100, REQUEST, 0, Broken)), "S");
     for reader in [0, 1] {
-        harness.list_host(START_MS + 110, reader, Standing::Draining, None);
+        harness.list_host(START_MS + 110, reader, HostStatus::Draining, None);
     }
     assert_eq!(action_letters(&harness.close_shot(START_MS + 200, REQUEST, 1, NoConnection)), "");
     let found = first_release(&mut harness, 100, 4000);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{
-    Action, CacheKey, Closed, Config, Event, Load, Order, Outcome, Ran, Role, Standing,
+    Action, CacheKey, Closed, Config, Event, HostStatus, LoadReport, Order, Outcome, Ran, Role,
 };
 
 #[test]
@@ -71,12 +71,12 @@
                 ("offerings.0.window_us", "800000"),
             ];
             let mut harness = Harness::new(&extra, &[(MIXED, 0), (MIXED, 0), (MIXED, 1)]);
-            harness.list_host(1, 2, Standing::Draining, None);
-            harness.list_host(1, 1, Standing::Draining, None);
+            harness.list_host(1, 2, HostStatus::Draining, None);
+            harness.list_host(1, 1, HostStatus::Draining, None);
             assert_eq!(sent_host(&harness.send_order(2, 9, 9, 1000)), Some(0));
-            harness.list_host(3, draining, Standing::Draining, None);
+            harness.list_host(3, draining, HostStatus::Draining, None);
             for host in (0..3).filter(|host| *host != draining) {
-                harness.list_host(4, host, Standing::Running, None);
+                harness.list_host(4, host, HostStatus::Running, None);
             }
             let mut next = harness.close_shot(2 + after, 9, 0, *outcome);
             if action_letters(&next).is_empty() {
@@ -108,9 +108,9 @@
     {
         let extra = [("offerings.0.effect", effect), ("offerings.0.group", group)];
         let mut harness = Harness::new(&extra, &[(READER, 0), (READER, 1), (WRITER, 0), (WRITER, 0)]);
-        harness.list_host(0, 1, Standing::Draining, None);
+        harness.list_host(0, 1, HostStatus::Draining, None);
         harness.send_order(1, 50, 50, 9000);
-        harness.list_host(2, 1, Standing::Running, None);
+        harness.list_host(2, 1, HostStatus::Running, None);
         assert_eq!(sent_host(&harness.send_order(3, 9, 9, 500)), Some(1));
         harness.close_shot(20, 9, 0, Read);
         harness.close_shot(30, 9, 1, Broken);
@@ -141,9 +141,9 @@
             ("offerings.0.window_us", "2000000"),
         ];
         let mut harness = Harness::new(&extra, &[(READER, 0), (READER, 1), (WRITER, 0), (WRITER, 1)]);
-        harness.list_host(0, 1, Standing::Draining, None);
+        harness.list_host(0, 1, HostStatus::Draining, None);
         harness.send_order(3990, 50, 50, 9000);
-        harness.list_host(2, 1, Standing::Running, None);
+        harness.list_host(2, 1, HostStatus::Running, None);
         let ran = Some(Ran { host: 2, sent: ms(4000 - ago) });
         let order = |task| Order { task, ran, left: ms(4000), prompt_tokens: 500, ..Order::default() };
         let out = harness.on_event(4000, Event::Order(order(9)));
@@ -158,7 +158,7 @@
             // and aborted after it.
             assert_eq!(reader, 0);
             assert_eq!(sent_host(&harness.close_shot(4010, 9, 0, Read)), Some(2));
-            harness.list_host(4020, 2, Standing::Draining, None);
+            harness.list_host(4020, 2, HostStatus::Draining, None);
             let out = harness.on_event(4021, Event::Order(Order { left: ms(3000), ..order(10) }));
             assert_eq!(sent_host(&out), Some(0));
             let mut out = harness.close_shot(4022, 10, 0, Read);
@@ -174,36 +174,36 @@
 
 #[test]
 fn nothing_new_goes_to_a_host_that_drains_or_is_gone() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for status in [HostStatus::Draining, HostStatus::Gone] {
         for stopped in [0, 2] {
             let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (WRITER, 0), (WRITER, 0)]);
             harness.send_order(10, 1, 1, 1000);
-            harness.list_host(20, stopped, standing, None);
+            harness.list_host(20, stopped, status, None);
             let after_read = harness.close_shot(30, 1, 0, Read);
             assert_ne!(sent_host(&after_read), Some(stopped));
             for task in 2..30 {
                 let actions = harness.send_order(30 + u64::from(task), task, 1, 1000);
-                assert_ne!(sent_host(&actions), Some(stopped), "{standing:?}");
+                assert_ne!(sent_host(&actions), Some(stopped), "{status:?}");
             }
         }
     }
     // With every reader gone nothing is sent, not even to the session's last reader.
     let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (WRITER, 0)]);
     harness.serve_task(0, 1, 1, 1000);
-    harness.list_host(200, 0, Standing::Gone, None);
-    harness.list_host(200, 1, Standing::Gone, None);
+    harness.list_host(200, 0, HostStatus::Gone, None);
+    harness.list_host(200, 1, HostStatus::Gone, None);
     assert_eq!(sent_host(&harness.send_order(210, 2, 1, 1000)), None);
     // The same where the session's last reader is a mixed host that drains, or that is cold with its budget
     // used up, and no other host writes: all counts are infinite then, and none may pass as within a margin
     // of the lowest.
-    for (standing, up_for) in [(Standing::Draining, None), (Standing::Running, Some(ms(0)))] {
+    for (status, uptime) in [(HostStatus::Draining, None), (HostStatus::Running, Some(ms(0)))] {
         let mut harness = Harness::new(&[("rules.fall_us", "1000000")], &[(MIXED, 0), (WRITER, 0)]);
         assert_eq!(sent_host(&harness.send_order(0, 1, 1, 1000)), Some(0));
         harness.close_shot(20, 1, 0, Delivered);
-        harness.list_host(200, 1, Standing::Gone, None);
-        harness.list_host(200, 0, standing, up_for);
+        harness.list_host(200, 1, HostStatus::Gone, None);
+        harness.list_host(200, 0, status, uptime);
         let sends = (0..20).filter(|i| sent_host(&harness.send_order(210, 2 + i, 1, 1000)).is_some()).count();
-        assert_eq!(sends, 0, "{standing:?}");
+        assert_eq!(sends, 0, "{status:?}");
     }
 }
 
@@ -218,7 +218,7 @@
         for i in 0..100 {
             harness.serve_task(i * 50, i as u32, i as u32, 1000);
         }
-        harness.list_host(5000, 0, Standing::Running, Some(ms(age)));
+        harness.list_host(5000, 0, HostStatus::Running, Some(ms(age)));
         let reader = |i: u64| harness.serve_task(5000 + i * 50, 200 + i as u32, 200 + i as u32, 1000).0;
         let cold = (0..30).map(reader).filter(|reader| *reader == Some(0)).count();
         assert!(cold <= most, "{cold} shots at the age of {age} ms");
@@ -226,7 +226,7 @@
     }
     // Dispatchers that have just started know no traffic yet and send no burst.
     let mut harness = Harness::new(&[], &[(READER, 0), (WRITER, 0)]);
-    harness.list_host(0, 0, Standing::Running, Some(ms(0)));
+    harness.list_host(0, 0, HostStatus::Running, Some(ms(0)));
     assert_eq!((0..50).filter(|i| sent_host(&harness.send_order(1, *i, *i, 1000)).is_some()).count(), 0);
 }
 
@@ -239,7 +239,7 @@
         let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (WRITER, 0), (WRITER, 0)]);
         harness.send_order(0, 1, 1, 1000);
         for host in *gone {
-            harness.list_host(10, *host, Standing::Gone, None);
+            harness.list_host(10, *host, HostStatus::Gone, None);
         }
         if *case == "client gone first" {
             harness.on_event(20, Event::ClientGone { task: 1 });
@@ -288,17 +288,17 @@
     for (before, prompt, stays) in cases {
         let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (WRITER, 0)]);
         let last = harness.serve_task(0, 1, 1, 1400).0.unwrap();
-        harness.list_host(200, 1 - last, Standing::Draining, None);
+        harness.list_host(200, 1 - last, HostStatus::Draining, None);
         for (i, tokens) in before.iter().enumerate() {
             harness.send_order(210, 10 + i as u32, 50 + i as u32, *tokens);
         }
-        harness.list_host(220, 1 - last, Standing::Running, None);
+        harness.list_host(220, 1 - last, HostStatus::Running, None);
         assert_eq!(sent_host(&harness.send_order(230, 2, 1, *prompt)) == Some(last), *stays, "{before:?}");
     }
     // A recent report of tokens to read counts if it is larger than the dispatcher's own count.
     let patient = [("offerings.0.agreed_time_us", "4000000")];
     let mut harness = Harness::new(&patient, &[(READER, 0), (READER, 0), (WRITER, 0)]);
-    let mut load = Load { count: 1, ..Load::default() };
+    let mut load = LoadReport { count: 1, ..LoadReport::default() };
     load.values[0] = 30.0;
     harness.on_event(1, Event::Probed { host: 0, answered: true, load: Some(load) });
     load.values[0] = 0.0;
@@ -326,13 +326,13 @@
     }
     // Streams pile up near the reader until the far writer has clearly fewer tokens.
     let mut harness = Harness::new(&[], &[(READER, 0), (WRITER, 0), (WRITER, 1), (READER, 1)]);
-    harness.list_host(0, 3, Standing::Draining, None);
-    harness.list_host(0, 2, Standing::Draining, None);
+    harness.list_host(0, 3, HostStatus::Draining, None);
+    harness.list_host(0, 2, HostStatus::Draining, None);
     for task in 0..12 {
         harness.send_order(0, task, task, 1000);
         assert_eq!(sent_host(&harness.close_shot(10, task, 0, Read)), Some(1));
     }
-    harness.list_host(20, 2, Standing::Running, None);
+    harness.list_host(20, 2, HostStatus::Running, None);
     harness.send_order(30, 99, 99, 1000);
     assert_eq!(sent_host(&harness.close_shot(40, 99, 0, Read)), Some(2));
 }
@@ -421,15 +421,21 @@
         let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (WRITER, 0), (WRITER, 0)]);
         harness.send_order(0, 1, 1, 1000);
         for (shot, outcome) in outcomes.iter().enumerate() {
-            let out: u32 =
-                (0..4).filter_map(|h| harness.rules.belief(h, ms(1))).map(|belief| belief.shots).sum();
+            let out: u32 = (0..4)
+                .filter_map(|h| harness.rules.host_estimate(h, ms(1)))
+                .map(|estimate| estimate.shots_in_progress)
+                .sum();
             assert_eq!(out, 1, "{outcomes:?}: before shot {shot} ends");
             harness.close_shot(10 + shot as u64, 1, shot as u32, *outcome);
         }
         harness.on_event(100, Event::ClientGone { task: 1 });
         harness.close_shot(101, 1, outcomes.len() as u32, Cancelled);
-        for belief in (0..4).filter_map(|h| harness.rules.belief(h, ms(200))) {
-            assert_eq!((belief.shots, belief.reading, belief.writing), (0, 0.0, 0.0), "{outcomes:?}");
+        for estimate in (0..4).filter_map(|h| harness.rules.host_estimate(h, ms(200))) {
+            assert_eq!(
+                (estimate.shots_in_progress, estimate.pending_read_tokens, estimate.stream_tokens),
+                (0, 0.0, 0.0),
+                "{outcomes:?}"
+            );
         }
     }
 }
@@ -445,12 +451,12 @@
         harness.send_order(0, 1, 1, 1000);
         harness.hosts[0].name_hash += u64::from(renamed);
         if early {
-            harness.list_host(1, 0, Standing::Running, None);
+            harness.list_host(1, 0, HostStatus::Running, None);
         }
         harness.close_shot(1, 1, 0, Broken);
-        harness.list_host(2, 0, Standing::Running, None);
-        let belief = harness.rules.belief(0, ms(3)).expect("the host runs");
-        assert_eq!(belief.doubt > 0.0, suspected, "renamed {renamed}: {belief:?}");
+        harness.list_host(2, 0, HostStatus::Running, None);
+        let estimate = harness.rules.host_estimate(0, ms(3)).expect("the host runs");
+        assert_eq!(estimate.suspicion > 0.0, suspected, "renamed {renamed}: {estimate:?}");
     }
 }
 
@@ -470,7 +476,7 @@
         let hosts = [(READER, 0), (READER, 0), (WRITER, 0), (WRITER, 1), (WRITER, 0)];
         let mut harness = Harness::new(&extra, &hosts);
         for host in [3, 4] {
-            harness.list_host(0, host, Standing::Draining, None);
+            harness.list_host(0, host, HostStatus::Draining, None);
         }
         harness.send_order(1, 9, 9, 500);
         assert_eq!(sent_host(&harness.close_shot(20, 9, 0, Read)), Some(2));
@@ -478,9 +484,9 @@
         if moved {
             (harness.hosts[2].cell, harness.hosts[2].zone) = (1, 1);
         }
-        let out = harness.list_host(30, 2, Standing::Running, None);
+        let out = harness.list_host(30, 2, HostStatus::Running, None);
         for host in [3, 4] {
-            harness.list_host(31, host, Standing::Running, None);
+            harness.list_host(31, host, HostStatus::Running, None);
         }
         let further = sent_host(&harness.close_shot(40, 9, 1, Cancelled));
         let case = format!("{effect} {group} {moved}");
@@ -727,7 +733,7 @@
         let at_home =
             sent_host(&Harness::new(&[], &[(READER, 0), (READER, 0)]).send_order(0, 1, 99, 5000)).unwrap();
         for host in 0..2 {
-            let mut load = Load { count: 1, ..Load::default() };
+            let mut load = LoadReport { count: 1, ..LoadReport::default() };
             // Hosts report whole prompts; their homes read only what is not cached.
             let uncached_share = f64::from(5000 - found) / 5000.0;
             load.values[0] = if host == at_home { more / 1000.0 / uncached_share } else { 0.0 };
@@ -750,7 +756,7 @@
         let mut reporter = None;
         for i in 0..30 {
             reporter = sent_host(&harness.send_order(i * 100, i as u32, 1, 4000));
-            let mut load = Load { count: 1, ..Load::default() };
+            let mut load = LoadReport { count: 1, ..LoadReport::default() };
             load.values[0] = if i == 29 { report } else { 0.0 };
             let task = i as u32;
             let load = Some(load);
@@ -759,12 +765,12 @@
             harness.on_event(i * 100 + 30, Event::Started { task, shot: 1 });
             harness.close_shot(i * 100 + 40, task, 1, Delivered);
         }
-        let idle = Some(Load { count: 1, ..Load::default() });
+        let idle = Some(LoadReport { count: 1, ..LoadReport::default() });
         harness.on_event(2990, Event::Probed { host: 1 - reporter.unwrap(), answered: true, load: idle });
         if report == 0.0 {
-            harness.list_host(2991, 1 - reporter.unwrap(), Standing::Draining, None);
+            harness.list_host(2991, 1 - reporter.unwrap(), HostStatus::Draining, None);
             harness.send_order(2992, 80, 80, 5000);
-            harness.list_host(2993, 1 - reporter.unwrap(), Standing::Running, None);
+            harness.list_host(2993, 1 - reporter.unwrap(), HostStatus::Running, None);
         }
         let next = sent_host(&harness.send_order(3000, 90, 1, 4000));
         assert_eq!(next != reporter, moves_away, "{cached} cached");
@@ -789,8 +795,8 @@
         // Only reader 1 runs while the session is read first, only reader 0 when the other prompt comes.
         let run_only = |harness: &mut Harness, at: u64, on: &[u32]| {
             for host in 0..3 {
-                let standing = if on.contains(&host) { Standing::Running } else { Standing::Draining };
-                harness.list_host(at, host, standing, None);
+                let status = if on.contains(&host) { HostStatus::Running } else { HostStatus::Draining };
+                harness.list_host(at, host, status, None);
             }
         };
         run_only(&mut harness, 1, &[1]);
@@ -904,7 +910,7 @@
     }
     let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (WRITER, 0)]);
     let reader = sent_host(&harness.send_order(0, 1, 1, 1000)).unwrap();
-    let actions = harness.list_host(10, reader, Standing::Gone, None);
+    let actions = harness.list_host(10, reader, HostStatus::Gone, None);
     assert!(actions.contains(&Action::Cancel { task: 1, shot: 0 }), "{actions:?}");
     assert_eq!(sent_host(&harness.close_shot(20, 1, 0, Cancelled)), Some(1 - reader));
 }
@@ -934,12 +940,13 @@
         });
         assert_eq!(found, cancelled, "{case}: {actions:?}");
         // Cancelled once, whatever comes next, and the host is not to blame.
-        let again = harness.list_host(60, 1, Standing::Draining, None);
+        let again = harness.list_host(60, 1, HostStatus::Draining, None);
         assert!(!again.iter().any(|action| matches!(action, Action::Cancel { .. })), "{case}: {again:?}");
         if let Some(shot) = cancelled {
             harness.close_shot(70, 1, shot, Cancelled);
         }
-        let suspicion = |host| harness.rules.belief(host, ms(80)).map_or(0.0, |belief| belief.doubt);
+        let suspicion =
+            |host| harness.rules.host_estimate(host, ms(80)).map_or(0.0, |estimate| estimate.suspicion);
         assert_eq!((suspicion(0), suspicion(1)), (0.0, 0.0), "{case}");
     }
 }
@@ -983,7 +990,7 @@
                 harness.serve_task(i * 1000 + me * 10, i as u32, (me * 99 + i) as u32, 1000);
             }
             for host in cold {
-                harness.list_host(31_000, *host, Standing::Running, Some(ms(0)));
+                harness.list_host(31_000, *host, HostStatus::Running, Some(ms(0)));
             }
             for i in 31..36u64 {
                 let at = i * 1000 + me * 10;
@@ -1023,15 +1030,15 @@
             let writers = [[(WRITER, 0); 6], [(others, 0); 6]].concat();
             let fleet = [[(READER, 0); 4].as_slice(), &writers, &[(new, 0)]].concat();
             let mut harness = Harness::new(&extra, &fleet);
-            harness.list_host(1, 16, Standing::Gone, None);
+            harness.list_host(1, 16, HostStatus::Gone, None);
             for i in 0..30 {
                 harness.serve_task(i * 1000 + phase, i as u32, (me * 99 + i) as u32, 1000);
             }
             let drains = if new == READER { 0..4 } else { 4 + u32::from(left)..16 };
             for host in drains {
-                harness.list_host(31_000, host, Standing::Draining, None);
+                harness.list_host(31_000, host, HostStatus::Draining, None);
             }
-            harness.list_host(31_000, 16, Standing::Running, Some(ms(0)));
+            harness.list_host(31_000, 16, HostStatus::Running, Some(ms(0)));
             for i in 31..41u64 {
                 let (at, task) = (i * 1000 + phase, i as u32);
                 let mut to = sent_host(&harness.send_order(at, task, (me * 99 + i) as u32, 1000));
@@ -1070,7 +1077,7 @@
             for i in 0..30 {
                 serve(&mut harness, i);
             }
-            harness.list_host(31_000, 12, Standing::Running, Some(ms(0)));
+            harness.list_host(31_000, 12, HostStatus::Running, Some(ms(0)));
             sent += (31..36).filter(|i| serve(&mut harness, *i) == Some(12)).count();
         }
         assert!((least..=most).contains(&sent), "{sent} shots in cell {cell}");
@@ -1175,7 +1182,7 @@
     for name in NAMES {
         for value in ["-1", "0", "1e18", "nothing of the kind", "true"] {
             let mut harness = Harness::new(&[(name, value)], &[(READER, 0), (WRITER, 0), (MIXED, 0)]);
-            harness.list_host(1, 2, Standing::Running, Some(ms(0)));
+            harness.list_host(1, 2, HostStatus::Running, Some(ms(0)));
             // It is sent, timed or answered, never dropped.
             assert!(!harness.send_order(10, 1, 1, 1000).is_empty(), "{name}={value}");
             for at in (20..4000).step_by(10) {
