--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -47,12 +47,12 @@
         let offering = fields.next().and_then(|name| self.names.offerings.find(name));
         let customer = fields.next().and_then(|name| self.names.customers.find(name));
         let session = fields.next().map(|name| self.names.sessions.intern(name));
-        let left = Duration::from_micros(fields.integer_or("the time left", 0)?);
-        let hint = fields.duration_or_none("the hint")?;
+        let time_left = Duration::from_micros(fields.integer_or("the time left", 0)?);
+        let expected_duration = fields.duration_or_none("the hint")?;
         let shared: Option<CacheKey> = fields.next().map(|name| self.names.shared_texts.intern(name));
         let prompt_tokens = fields.number_or("the prompt's length", 0.0)? as u32;
         let shared_tokens = fields.number_or("the shared length", 0.0)? as u32;
-        let most_tokens = fields.number_or("the output limit", 0.0)? as u32;
+        let max_answer_tokens = fields.number_or("the output limit", 0.0)? as u32;
         let flags = fields.integer_or("the flags", 0)?;
         let order = Order {
             task,
@@ -60,13 +60,13 @@
             customer,
             session,
             shared,
-            left,
-            hint: hint.filter(|_| flags & 1 != 0),
+            time_left,
+            expected_duration: expected_duration.filter(|_| flags & 1 != 0),
             prompt_tokens,
             shared_tokens,
-            most_tokens,
-            again: flags & 2 != 0,
-            ran: None,
+            max_answer_tokens,
+            is_repeat: flags & 2 != 0,
+            earlier_run: None,
         };
         self.apply_event(clock, &Event::Order(order), reply);
         Ok(())
@@ -91,9 +91,9 @@
         fields.next();
         let load = fields.load()?;
         let reports_cached = matches!(outcome, Outcome::Read | Outcome::Delivered);
-        let kept_tokens = if reports_cached { u32::try_from(note).unwrap_or(u32::MAX) } else { 0 };
+        let cached_tokens = if reports_cached { u32::try_from(note).unwrap_or(u32::MAX) } else { 0 };
         if let Some(task) = task {
-            let closed = Closed { task, shot, outcome, finished, kept_tokens, load };
+            let closed = Closed { task, shot, outcome, finished, cached_tokens, load };
             self.apply_event(clock, &Event::Closed(closed), reply);
         }
         Ok(())
--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use std::{fs, thread};
 use tulipstall::interface::Outcome;
-use tulipstall_core::{Ask, Core, End, HostRow, Input, Output};
+use tulipstall_core::{Core, HostRow, Input, Output, ShotReport, TaskRequest};
 use tulipstall_net::{Pool, spawn};
 use tulipstall_rig::day::{get, post};
 use tulipstall_rig::fleet::{Fleet, settings};
@@ -217,14 +217,14 @@
             out.clear();
             core.carried_out();
             let task = core.enter();
-            let request = Ask {
+            let request = TaskRequest {
                 session: Some(format!("s{}", tasks % 5000)),
                 shared: Some(format!("t{}", tasks % 10)),
-                left: Duration::from_secs(6),
+                time_left: Duration::from_secs(6),
                 prompt_tokens: 800,
                 shared_tokens: 500,
-                most_tokens: 200,
-                ..Ask::default()
+                max_answer_tokens: 200,
+                ..TaskRequest::default()
             };
             core.arrive(now, task, &request, &mut out);
             while let Some(Output::Send { shot, errand, .. }) = out.pop() {
@@ -236,7 +236,7 @@
                 }
                 core.on(
                     now,
-                    Input::Closed { task, shot, outcome, end: End { state, ..End::default() } },
+                    Input::Closed { task, shot, outcome, end: ShotReport { state, ..ShotReport::default() } },
                     &mut out,
                 );
                 out.retain(|output| matches!(output, Output::Send { .. }));
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -16,7 +16,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::{
     Action, Closed, Config, ConfigValue, Event, HostEstimate, HostStatus, ListedHost, LoadReport, Order,
-    Outcome, Ran, ReleaseReason, Role,
+    Outcome, PossibleRun, ReleaseReason, Role,
 };
 use tulipstall::names::NameRegistry;
 use tulipstall_prefix::chain::BLOCK;
@@ -47,35 +47,35 @@
 
 /// The request of a client, with names instead of indices (see [`Order`]).
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct TaskRequest {
     pub offering: u32,
     pub customer: Option<u32>,
     pub session: Option<String>,
     /// Name of the start of the prompt that several sessions have in common.
     pub shared: Option<String>,
     /// Time left until the client gives up on this request.
-    pub left: Duration,
+    pub time_left: Duration,
     pub prompt_tokens: u32,
     /// Length of the shared start of the prompt.
     pub shared_tokens: u32,
     /// Upper limit for the tokens of the answer.
-    pub most_tokens: u32,
+    pub max_answer_tokens: u32,
     /// The client repeats a request that it has made before.
-    pub again: bool,
+    pub is_repeat: bool,
     /// Estimate of the answer's length, as time at the offering's token rate; if absent, the average of earlier answers is
     /// used.
-    pub hint: Option<Duration>,
+    pub expected_duration: Option<Duration>,
     /// The first shot that may have run of the interrupted answer that this request continues.
-    pub ran: Option<Ran>,
+    pub earlier_run: Option<PossibleRun>,
     /// The prompt as a chain of hashed blocks (`tulipstall_prefix::chain`).
     pub chain: Arc<[u64]>,
 }
 
 /// What the answer to a shot reported.
 #[derive(Clone, Debug, Default)]
-pub struct End {
+pub struct ShotReport {
     /// Prompt tokens that the server found in its prefix cache.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
     /// All prompt tokens as the engine counted them; 0 if it did not report them.
     pub prompt_tokens: u32,
     /// Tokens of the complete answer, if it was delivered.
@@ -90,12 +90,12 @@
 
 /// A state (KV cache of a prompt) that a reader holds until a writer fetches it or it is released.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldState {
     pub host: u32,
     /// The reader's name for the state.
     pub state: String,
     /// Prompt tokens that the reader found in its prefix cache.
-    pub kept_tokens: u32,
+    pub cached_tokens: u32,
 }
 
 /// An input of [`Core`].
@@ -110,7 +110,7 @@
     /// The answer of a shot has begun.
     Began { task: TaskId, shot: u32 },
     /// A shot has ended.
-    Closed { task: TaskId, shot: u32, outcome: Outcome, end: End },
+    Closed { task: TaskId, shot: u32, outcome: Outcome, end: ShotReport },
     /// The client closed its connection, or the task was aborted from outside: it needs no answer.
     Gone { task: TaskId },
     /// Time has passed: expires timers.
@@ -142,13 +142,13 @@
         /// Latest time to send the first byte; after that the shot is not sent at all.
         begin_by: Duration,
         /// The state to fetch.
-        held: Option<Held>,
+        held: Option<HeldState>,
     },
     /// Cancel a shot that is in progress.
     Cancel { task: TaskId, shot: u32 },
     /// Release a state at its reader.
     Release {
-        held: Held,
+        held: HeldState,
         /// The reader reported the state. Otherwise it is only possible that the state exists, and it may still be created
         /// later if the reader cannot be reached.
         sure: bool,
@@ -165,8 +165,8 @@
     /// A log line for the operator.
     Note { host: u32, what: &'static str },
     /// The first shot of the task that may have run, as known so far. A request that continues the answer of this task
-    /// passes it on in [`Ask::ran`].
-    Ran { task: TaskId, ran: Ran },
+    /// passes it on in [`TaskRequest::earlier_run`].
+    Ran { task: TaskId, ran: PossibleRun },
     /// The task is over and no further output names it.
     Forget { task: TaskId },
 }
@@ -199,25 +199,25 @@
     /// Estimate of what hosts have cached of the chain: host and blocks.
     estimated_blocks: Vec<(u32, u32)>,
     /// The first shot that may have run, of this task and of the one whose answer it continues.
-    first_possible_run: Option<Ran>,
+    first_possible_run: Option<PossibleRun>,
     /// The state for the next writer.
-    held: Option<Held>,
+    held: Option<HeldState>,
     /// The state that was released while an attempt was in progress. The attempt may have been waiting for it at the server,
     /// so it is released again if the attempt ends without having used it.
-    released_under_attempt: Option<Held>,
+    released_under_attempt: Option<HeldState>,
     /// States that may exist because a read did not report success, or reported it late. Released with the task.
-    unconfirmed: Vec<Held>,
+    unconfirmed: Vec<HeldState>,
 }
 
 impl TaskEntry {
     /// Adds a state that a read may have left, once for each name.
-    fn add_unconfirmed(&mut self, held: Option<Held>) {
-        let known = |held: &Held| self.unconfirmed.iter().any(|other| other.state == held.state);
+    fn add_unconfirmed(&mut self, held: Option<HeldState>) {
+        let known = |held: &HeldState| self.unconfirmed.iter().any(|other| other.state == held.state);
         self.unconfirmed.extend(held.filter(|held| !known(held)));
     }
 
     /// Notes a shot that may have run. Returns whether it is now the first one.
-    fn note_possible_run(&mut self, ran: Ran) -> bool {
+    fn note_possible_run(&mut self, ran: PossibleRun) -> bool {
         let first = self.first_possible_run.is_none_or(|first| ran.sent < first.sent);
         if first {
             self.first_possible_run = Some(ran);
@@ -431,44 +431,44 @@
     }
 
     /// Passes a new task to the decisions.
-    pub fn arrive(&mut self, now: Duration, task: TaskId, ask: &Ask, out: &mut Vec<Output>) {
+    pub fn arrive(&mut self, now: Duration, task: TaskId, request: &TaskRequest, out: &mut Vec<Output>) {
         let Some(entry) = self.entry(task) else { return };
-        (entry.offering, entry.first_possible_run) = (ask.offering, ask.ran);
-        entry.chain = ask.chain.clone();
+        (entry.offering, entry.first_possible_run) = (request.offering, request.earlier_run);
+        entry.chain = request.chain.clone();
         self.counts.taken += 1;
-        self.estimate_cached(now, task, ask, out);
-        let offering = ask.offering as usize;
+        self.estimate_cached(now, task, request, out);
+        let offering = request.offering as usize;
         let known = self.answer_lengths.get(offering).filter(|lengths| lengths.samples > 0);
         let pace = self.token_pace_s.get(offering).copied().unwrap_or(0.05);
         let order = Order {
             task: task.slot,
-            offering: Some(ask.offering),
-            customer: ask.customer,
-            session: ask.session.as_deref().map(|name| self.names.sessions.intern(name)),
-            shared: ask.shared.as_deref().map(|name| self.names.shared_texts.intern(name)),
-            left: ask.left,
-            hint: ask.hint.or_else(|| {
+            offering: Some(request.offering),
+            customer: request.customer,
+            session: request.session.as_deref().map(|name| self.names.sessions.intern(name)),
+            shared: request.shared.as_deref().map(|name| self.names.shared_texts.intern(name)),
+            time_left: request.time_left,
+            expected_duration: request.expected_duration.or_else(|| {
                 known.map(|lengths| Duration::from_secs_f64((lengths.mean_tokens * pace).clamp(0.0, 1e6)))
             }),
-            prompt_tokens: ask.prompt_tokens,
-            shared_tokens: ask.shared_tokens.min(ask.prompt_tokens),
-            most_tokens: ask.most_tokens,
-            again: ask.again,
-            ran: ask.ran,
+            prompt_tokens: request.prompt_tokens,
+            shared_tokens: request.shared_tokens.min(request.prompt_tokens),
+            max_answer_tokens: request.max_answer_tokens,
+            is_repeat: request.is_repeat,
+            earlier_run: request.earlier_run,
         };
         self.apply_event(now, Event::Order(order), out);
     }
 
     /// Passes the decisions an estimate of what hosts have cached of a prompt, weighted by confidence.
-    fn estimate_cached(&mut self, now: Duration, task: TaskId, ask: &Ask, out: &mut Vec<Output>) {
+    fn estimate_cached(&mut self, now: Duration, task: TaskId, request: &TaskRequest, out: &mut Vec<Output>) {
         match &mut self.prefixes {
             Prefix::Table => return,
             Prefix::Nothing => self.cached.clear(),
-            Prefix::Content(prefixes) => prefixes.ask(now, &ask.chain, &mut self.cached),
+            Prefix::Content(prefixes) => prefixes.ask(now, &request.chain, &mut self.cached),
         }
         let tokens = |kept: &Kept| (f64::from(kept.blocks * BLOCK) * kept.belief) as u32;
         let estimates =
-            self.cached.iter().map(|kept| (kept.host, tokens(kept).min(ask.prompt_tokens))).collect();
+            self.cached.iter().map(|kept| (kept.host, tokens(kept).min(request.prompt_tokens))).collect();
         if let Some(entry) = self.entries.get_mut(task.slot as usize) {
             entry.estimated_blocks.extend(self.cached.iter().map(|kept| (kept.host, kept.blocks)));
         }
@@ -477,13 +477,13 @@
 
     /// A prompt was read at a host. Compares the cached part that the host reported with the estimate; the host has all of
     /// the prompt cached now.
-    fn record_read(&mut self, now: Duration, task: TaskId, host: u32, end: &End) {
+    fn record_read(&mut self, now: Duration, task: TaskId, host: u32, end: &ShotReport) {
         let Some(entry) = self.entries.get(task.slot as usize) else { return };
         let Prefix::Content(prefixes) = &mut self.prefixes else { return };
         let estimated =
             entry.estimated_blocks.iter().find(|(other, _)| *other == host).map_or(0, |(_, blocks)| *blocks);
         // The engine's tokens differ from the estimated ones, so the cached share of its prompt is used.
-        let share = f64::from(end.kept_tokens) / f64::from(end.prompt_tokens.max(1));
+        let share = f64::from(end.cached_tokens) / f64::from(end.prompt_tokens.max(1));
         let found = (share.min(1.0) * entry.chain.len() as f64).round() as u32;
         if end.prompt_tokens > 0 {
             let forgot = prefixes.read(now, host, &entry.chain, estimated, found);
@@ -539,7 +539,7 @@
         }
         self.counts.overdue += 1;
         out.push(Output::Cancel { task, shot });
-        self.shot_closed(now, task, shot, Outcome::TimedOut, End::default(), out);
+        self.shot_closed(now, task, shot, Outcome::TimedOut, ShotReport::default(), out);
     }
 
     fn update_hosts(&mut self, now: Duration, whole: bool, rows: Vec<HostRow>, out: &mut Vec<Output>) {
@@ -603,7 +603,8 @@
             return;
         }
         entry.answering_shot = Some(shot);
-        let ran = Ran { host: entry.shots[shot as usize].host, sent: entry.shots[shot as usize].sent };
+        let ran =
+            PossibleRun { host: entry.shots[shot as usize].host, sent: entry.shots[shot as usize].sent };
         out.extend(entry.note_possible_run(ran).then_some(Output::Ran { task, ran }));
         // The writer has fetched the state.
         entry.held = None;
@@ -618,11 +619,11 @@
         task: TaskId,
         shot: u32,
         outcome: Outcome,
-        mut end: End,
+        mut end: ShotReport,
         out: &mut Vec<Output>,
     ) {
         let state = end.state.take();
-        let held = state.map(|state| Held { host: end.host, state, kept_tokens: end.kept_tokens });
+        let held = state.map(|state| HeldState { host: end.host, state, cached_tokens: end.cached_tokens });
         let Some(entry) = self.entry(task) else {
             // The shot was overdue and its slot may have been reused, so the state has to be released here.
             let (sure, reason) = (outcome == Outcome::Read, ReleaseReason::Ended);
@@ -635,7 +636,7 @@
         closed_shot.active = false;
         let (host, is_read) = (closed_shot.host, closed_shot.is_read);
         if !closed_shot.is_read && !outcome.never_ran() {
-            let ran = Ran { host, sent: closed_shot.sent };
+            let ran = PossibleRun { host, sent: closed_shot.sent };
             out.extend(entry.note_possible_run(ran).then_some(Output::Ran { task, ran }));
         }
         let combined = outcome == Outcome::Delivered && entry.last_combined_shot == Some(shot);
@@ -680,7 +681,7 @@
             shot,
             outcome,
             finished: ended || ends,
-            kept_tokens: end.kept_tokens,
+            cached_tokens: end.cached_tokens,
             load: end.load,
         };
         self.apply_event(now, Event::Closed(closed), out);
@@ -736,7 +737,8 @@
                     entry.released_under_attempt = held.clone();
                 }
                 let unconfirmed = if reason == ReleaseReason::Unused { &[] } else { &entry.unconfirmed[..] };
-                let not_held = |other: &&Held| held.as_ref().is_none_or(|held| held.state != other.state);
+                let not_held =
+                    |other: &&HeldState| held.as_ref().is_none_or(|held| held.state != other.state);
                 let all = unconfirmed.iter().filter(not_held).cloned().chain(held.clone());
                 out.extend(all.map(|held| Output::Release { held, sure: true, reason }));
             }
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -3,8 +3,8 @@
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tulipstall::interface::{Config, ConfigValue, HostStatus, Outcome, Ran};
-use tulipstall_core::{Ask, Core, End, Errand, HostRow, Input, Lines, Output, TaskId, replay};
+use tulipstall::interface::{Config, ConfigValue, HostStatus, Outcome, PossibleRun};
+use tulipstall_core::{Core, Errand, HostRow, Input, Lines, Output, ShotReport, TaskId, TaskRequest, replay};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -66,14 +66,19 @@
 
     fn start_task(&mut self) -> (TaskId, Vec<Output>) {
         let task = self.core.enter();
-        let ask = Ask { left: ms(4000), prompt_tokens: 100, most_tokens: 50, ..Ask::default() };
-        self.core.arrive(self.now, task, &ask, &mut self.out);
+        let request = TaskRequest {
+            time_left: ms(4000),
+            prompt_tokens: 100,
+            max_answer_tokens: 50,
+            ..TaskRequest::default()
+        };
+        self.core.arrive(self.now, task, &request, &mut self.out);
         (task, std::mem::take(&mut self.out))
     }
 
     fn close(&mut self, task: TaskId, shot: u32, outcome: Outcome) -> Vec<Output> {
         let state = (outcome == Outcome::Read).then(|| format!("s{shot}"));
-        self.on(Input::Closed { task, shot, outcome, end: End { state, ..End::default() } })
+        self.on(Input::Closed { task, shot, outcome, end: ShotReport { state, ..ShotReport::default() } })
     }
 
     /// Starts a task and completes its read, so that the shot at a writer is in progress.
@@ -235,7 +240,7 @@
         let (task, _) = harness.start_task();
         let mut out = Vec::new();
         for shot in 0..2 {
-            let end = End { state: Some("s".to_owned()), ..End::default() };
+            let end = ShotReport { state: Some("s".to_owned()), ..ShotReport::default() };
             out.extend(harness.on(Input::Closed { task, shot, outcome, end }));
         }
         assert!(released(&out).is_empty(), "{outcome:?}: {out:?}");
@@ -260,8 +265,8 @@
         Input::Began { task, shot: 1 },
         Input::Began { task, shot: 0 },
         Input::Gone { task },
-        Input::Closed { task, shot: 0, outcome: Outcome::Error, end: End::default() },
-        Input::Closed { task: next, shot: 9, outcome: Outcome::Delivered, end: End::default() },
+        Input::Closed { task, shot: 0, outcome: Outcome::Error, end: ShotReport::default() },
+        Input::Closed { task: next, shot: 9, outcome: Outcome::Delivered, end: ShotReport::default() },
     ] {
         let what = format!("{input:?}");
         assert!(harness.on(input).is_empty(), "{what}");
@@ -390,9 +395,15 @@
     // A shot of the interrupted answer that the task continues precedes all shots of the task itself.
     let mut harness = Harness::new("replayable");
     let task = harness.core.enter();
-    let earlier = Some(Ran { host: 1, sent: ms(0) });
-    let ask = Ask { left: ms(4000), prompt_tokens: 100, most_tokens: 50, ran: earlier, ..Ask::default() };
-    harness.core.arrive(harness.now, task, &ask, &mut harness.out);
+    let earlier = Some(PossibleRun { host: 1, sent: ms(0) });
+    let request = TaskRequest {
+        time_left: ms(4000),
+        prompt_tokens: 100,
+        max_answer_tokens: 50,
+        earlier_run: earlier,
+        ..TaskRequest::default()
+    };
+    harness.core.arrive(harness.now, task, &request, &mut harness.out);
     harness.out.clear();
     let out = harness.close(task, 0, Outcome::Read);
     assert_eq!(sent_to(&out), 2, "the writer of the interrupted answer must not be preferred");
--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
-use tulipstall_core::Ask;
+use tulipstall_core::TaskRequest;
 use tulipstall_engine::{Prompt, Resume};
 use tulipstall_http1::{Head, Limits, Refusal, RequestReader, Step};
 use tulipstall_messages::{self as messages, ApiError, Call, Kind, estimate_tokens};
@@ -430,7 +430,11 @@
     }
 
     /// Parses a request and translates it for the decision core (docs/messages-api.md), with its idempotency key.
-    fn build_ask(&self, head: &Head, body: &[u8]) -> Result<(Call, Ask, Option<String>), ApiError> {
+    fn build_request(
+        &self,
+        head: &Head,
+        body: &[u8],
+    ) -> Result<(Call, TaskRequest, Option<String>), ApiError> {
         let customer = self.authenticate(head)?;
         let call = messages::parse(body)?;
         let offering = self.offering(&call)?;
@@ -456,28 +460,30 @@
         let margin = Duration::from_millis(self.shared.settings.times.answer_margin_ms);
         let retry_count = head.text("x-stainless-retry-count").and_then(|text| text.parse::<u32>().ok());
         let prompt_tokens = estimate_tokens(&call.prompt);
-        let ask = Ask {
+        let request = TaskRequest {
             offering: offering as u32,
             customer,
             session: Some(call.session.clone()),
             shared: call.shared.clone(),
-            left: client_timeout.map_or(hard_stop, |timeout| timeout.min(hard_stop)).saturating_sub(margin),
+            time_left: client_timeout
+                .map_or(hard_stop, |timeout| timeout.min(hard_stop))
+                .saturating_sub(margin),
             prompt_tokens,
             shared_tokens: estimate_tokens(&call.prompt[..call.shared_bytes]),
-            most_tokens: call.most_tokens,
-            again: retry_count.is_some_and(|retry_count| retry_count > 0),
-            hint: None,
-            ran: None,
+            max_answer_tokens: call.most_tokens,
+            is_repeat: retry_count.is_some_and(|retry_count| retry_count > 0),
+            expected_duration: None,
+            earlier_run: None,
             chain: self.shared.chain(customer, &call.prompt),
         };
-        Ok((call, ask, idempotency_key.map(str::to_owned)))
+        Ok((call, request, idempotency_key.map(str::to_owned)))
     }
 
     /// Answers `POST /v1/messages`: submits a task and sends its answer.
     fn handle_messages(&mut self, head: &Head, body: &[u8], options: ResponseOptions) -> bool {
-        let parsed = self.build_ask(head, body);
+        let parsed = self.build_request(head, body);
         let rejection = parsed.as_ref().ok().and_then(|_| self.admission_error());
-        let (call, ask, reference) = match (parsed, rejection) {
+        let (call, request, reference) = match (parsed, rejection) {
             (Ok(parsed), None) => parsed,
             (Err(error), _) => {
                 self.count_refusal(error.kind.status());
@@ -501,11 +507,11 @@
             reference,
             resume: None,
         };
-        let offering = ask.offering as usize;
+        let offering = request.offering as usize;
         let id = options.request_id.to_owned();
-        let task = Arc::new(Task::new(id, prompt, ask.clone(), ticket, self.sender.clone()));
+        let task = Arc::new(Task::new(id, prompt, request.clone(), ticket, self.sender.clone()));
         let _active = ActiveTaskGuard(self.shared.clone());
-        self.shared.owner_queue.send(OwnerMessage::Arrive(task.clone(), Box::new(ask)));
+        self.shared.owner_queue.send(OwnerMessage::Arrive(task.clone(), Box::new(request)));
         let form = relay::ResponseForm { streamed: call.stream, http10: head.http10 };
         let outcome = catch_unwind(AssertUnwindSafe(|| self.wait_for_answer(&task, form, options)));
         let (answer, keep_open) = outcome.unwrap_or_else(|_| self.abort_after_panic(&task, form, options));
@@ -698,21 +704,21 @@
         self.ticket += 1;
         let text = format!("{}{}", first.prompt.text, answer.before());
         let resume = Some(Resume { answer_bytes: answer.before().len(), from: position });
-        let ask = Ask {
-            left: within,
-            prompt_tokens: first.ask.prompt_tokens + answer.tokens(),
-            most_tokens: max_tokens,
-            again: true,
+        let request = TaskRequest {
+            time_left: within,
+            prompt_tokens: first.request.prompt_tokens + answer.tokens(),
+            max_answer_tokens: max_tokens,
+            is_repeat: true,
             // Covers everything that is read again, as the engine counts cached tokens over all of it.
-            chain: self.shared.chain(first.ask.customer, &text),
-            ..first.ask.clone()
+            chain: self.shared.chain(first.request.customer, &text),
+            ..first.request.clone()
         };
         let prompt = Prompt { text, most_tokens: max_tokens, resume, ..first.prompt.clone() };
         let (name, inbox) = (first.name.clone(), self.sender.clone());
-        let mut task = Task::new(name, prompt, ask.clone(), self.ticket, inbox);
+        let mut task = Task::new(name, prompt, request.clone(), self.ticket, inbox);
         task.continues = Some(lost.clone());
         let task = Arc::new(task);
-        self.shared.owner_queue.send(OwnerMessage::Arrive(task.clone(), Box::new(ask)));
+        self.shared.owner_queue.send(OwnerMessage::Arrive(task.clone(), Box::new(request)));
         task
     }
 
@@ -744,7 +750,7 @@
 
 /// The demand on the reread budget for reading an answer's prompt and its text so far again.
 fn reread_demand(first: &Task, answer: &Answer, until: Duration) -> Wish {
-    let reads = first.ask.prompt_tokens + answer.tokens();
+    let reads = first.request.prompt_tokens + answer.tokens();
     Wish { reads, has: answer.tokens(), most: first.prompt.most_tokens, until }
 }
 
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipstall::interface::Outcome;
-use tulipstall_core::{Ask, Core, Input, Lines, Output, Prefix, TaskId};
+use tulipstall_core::{Core, Input, Lines, Output, Prefix, TaskId, TaskRequest};
 use tulipstall_net::spawn;
 use tulipstall_prefix::Prefixes;
 use tulipstall_settings::PrefixBy;
@@ -21,7 +21,7 @@
 /// A message to the owner of the decisions.
 pub enum OwnerMessage {
     /// A new task.
-    Arrive(Arc<Task>, Box<Ask>),
+    Arrive(Arc<Task>, Box<TaskRequest>),
     /// The task's client has left, or answering it panicked.
     ClientGone(Arc<Task>),
     /// An input for the core, passed on unchanged.
@@ -158,7 +158,7 @@
     fn decide(&mut self, now: Duration, message: Option<OwnerMessage>, outputs: &mut Vec<Output>) {
         let input = match message {
             None => Input::Tick,
-            Some(OwnerMessage::Arrive(task, ask)) => return self.arrive(now, task, &ask, outputs),
+            Some(OwnerMessage::Arrive(task, request)) => return self.arrive(now, task, &request, outputs),
             Some(OwnerMessage::ClientGone(task)) => match task.id() {
                 Some(id) => Input::Gone { task: id },
                 None => return,
@@ -174,7 +174,7 @@
     }
 
     /// Gives a new task its id and submits it to the core.
-    fn arrive(&mut self, now: Duration, task: Arc<Task>, ask: &Ask, outputs: &mut Vec<Output>) {
+    fn arrive(&mut self, now: Duration, task: Arc<Task>, request: &TaskRequest, outputs: &mut Vec<Output>) {
         self.core.on(now, Input::Tick, outputs);
         let id = self.core.enter();
         task.set_id(id);
@@ -190,7 +190,7 @@
             entered.task.set_ran(ran);
             Some(ran)
         });
-        self.core.arrive(now, id, &Ask { ran, ..ask.clone() }, outputs);
+        self.core.arrive(now, id, &TaskRequest { earlier_run: ran, ..request.clone() }, outputs);
     }
 
     /// Aborts all running tasks and shuts the streams of those whose answer has begun.
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use tulipstall::interface::{LoadReport, Outcome};
-use tulipstall_core::End;
+use tulipstall_core::ShotReport;
 use tulipstall_engine::{self as engine, Piece, Usage};
 use tulipstall_http1::body::{LAST_CHUNK, write_chunk};
 use tulipstall_messages::{Answer, ApiError, Counted, Kind, stop_reason};
@@ -161,7 +161,9 @@
         let ended = relay.relay_from(&current, &mut begun, options);
         if let Ended::Move(why) = ended {
             let unneeded = relay.try_move(connection, task, &mut current, &mut begun, why);
-            unneeded.into_iter().for_each(|unneeded| unneeded.shot.close(Outcome::Cancelled, End::default()));
+            unneeded
+                .into_iter()
+                .for_each(|unneeded| unneeded.shot.close(Outcome::Cancelled, ShotReport::default()));
             continue;
         }
         let Ended::Lost(why) = ended else { break ended };
@@ -241,9 +243,15 @@
 
 impl Relay {
     /// The report of a shot's end, with the token counts.
-    fn end(&self, load: Option<LoadReport>) -> End {
-        let (kept_tokens, answer_tokens) = (self.counted.cached_tokens, self.counted.output_tokens);
-        End { kept_tokens, prompt_tokens: self.counted.prompt_tokens, answer_tokens, load, ..End::default() }
+    fn end(&self, load: Option<LoadReport>) -> ShotReport {
+        let (cached_tokens, answer_tokens) = (self.counted.cached_tokens, self.counted.output_tokens);
+        ShotReport {
+            cached_tokens,
+            prompt_tokens: self.counted.prompt_tokens,
+            answer_tokens,
+            load,
+            ..ShotReport::default()
+        }
     }
 
     /// Stops the pings, so that the end of the stream can be written.
--- a/crates/dispatcher/src/shot.rs
+++ b/crates/dispatcher/src/shot.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipstall::interface::{LoadReport, Outcome};
-use tulipstall_core::{End, Errand, Held, Input, TaskId};
+use tulipstall_core::{Errand, HeldState, Input, ShotReport, TaskId};
 use tulipstall_engine::{self as engine, Piece, Stage, State, Usage};
 use tulipstall_http1::{Limits, sse};
 use tulipstall_net::{Fault, Link, Reply};
@@ -57,11 +57,11 @@
 }
 
 impl ShotEndGuard {
-    pub fn close(mut self, outcome: Outcome, end: End) {
+    pub fn close(mut self, outcome: Outcome, end: ShotReport) {
         self.report(outcome, end);
     }
 
-    fn report(&mut self, outcome: Outcome, end: End) {
+    fn report(&mut self, outcome: Outcome, end: ShotReport) {
         self.reported = true;
         let (task, shot) = (self.id, self.number);
         self.shared.owner_queue.send(OwnerMessage::CoreInput(Input::Closed { task, shot, outcome, end }));
@@ -71,28 +71,33 @@
 impl Drop for ShotEndGuard {
     fn drop(&mut self) {
         if !self.reported {
-            self.report(Outcome::Broken, End::default());
+            self.report(Outcome::Broken, ShotReport::default());
         }
     }
 }
 
 impl Shot {
-    pub fn run(self, endpoint: Option<Arc<Endpoint>>, errand: Errand, state: Option<(Held, Arc<Endpoint>)>) {
+    pub fn run(
+        self,
+        endpoint: Option<Arc<Endpoint>>,
+        errand: Errand,
+        state: Option<(HeldState, Arc<Endpoint>)>,
+    ) {
         let closing =
             ShotEndGuard { shared: self.shared.clone(), id: self.id, number: self.number, reported: false };
-        let Some(endpoint) = endpoint else { return closing.close(Outcome::Moot, End::default()) };
-        let reader_cached_tokens = state.as_ref().map(|(held, _)| held.kept_tokens);
+        let Some(endpoint) = endpoint else { return closing.close(Outcome::Moot, ShotReport::default()) };
+        let reader_cached_tokens = state.as_ref().map(|(held, _)| held.cached_tokens);
         match self.attempt(&endpoint, errand, state) {
             Ok(ShotResult::Ended(outcome, end)) => closing.close(outcome, end),
-            Err(outcome) => closing.close(self.final_outcome(outcome), End::default()),
+            Err(outcome) => closing.close(self.final_outcome(outcome), ShotReport::default()),
             Ok(ShotResult::StreamBegun(load, reply, events, pieces, done)) => {
                 if !self.control.begin() {
-                    return closing.close(Outcome::Cancelled, End::default());
+                    return closing.close(Outcome::Cancelled, ShotReport::default());
                 }
                 if !self.task.claim(self.number) {
                     // Another answer was first: closing the connection tells the writer to stop.
                     reply.link.shut();
-                    return closing.close(Outcome::Cancelled, End::default());
+                    return closing.close(Outcome::Cancelled, ShotReport::default());
                 }
                 self.shared
                     .owner_queue
@@ -105,7 +110,7 @@
                     events,
                     pieces,
                     done,
-                    usage: Usage { prompt_tokens: self.task.ask.prompt_tokens, ..Usage::default() },
+                    usage: Usage { prompt_tokens: self.task.request.prompt_tokens, ..Usage::default() },
                     reader_cached_tokens,
                     load,
                 };
@@ -131,7 +136,7 @@
         &self,
         endpoint: &Endpoint,
         errand: Errand,
-        state: Option<(Held, Arc<Endpoint>)>,
+        state: Option<(HeldState, Arc<Endpoint>)>,
     ) -> Result<ShotResult, Outcome> {
         let connect = Duration::from_millis(self.shared.settings.times.connect_ms);
         // If the host has begun to drain or is gone since the decision, or the shot was cancelled, the request was
@@ -187,7 +192,7 @@
             if reply.whole_body(self.deadline.min(Instant::now() + connect)).is_ok() {
                 return_connection(endpoint, reply);
             }
-            return Ok(ShotResult::Ended(outcome, End { load, ..End::default() }));
+            return Ok(ShotResult::Ended(outcome, ShotReport { load, ..ShotReport::default() }));
         }
         if errand == Errand::Read {
             let body = reply.whole_body(self.deadline).map_err(outcome_without_response)?;
@@ -228,7 +233,7 @@
 /// What became of a shot's request.
 enum ShotResult {
     /// The shot is over.
-    Ended(Outcome, End),
+    Ended(Outcome, ShotReport),
     /// The answer streams: load report, connection, event reader, first pieces, and whether the end mark has come.
     StreamBegun(Option<LoadReport>, Reply, sse::Reader, Vec<Piece>, bool),
 }
@@ -246,13 +251,20 @@
 fn parse_read_answer(body: &[u8], load: Option<LoadReport>, host: u32) -> ShotResult {
     let piece = std::str::from_utf8(body).ok().and_then(engine::piece).filter(|piece| !piece.error);
     let Some(Piece { state: Some(state), usage, .. }) = piece else {
-        return ShotResult::Ended(Outcome::Error, End { load, ..End::default() });
+        return ShotResult::Ended(Outcome::Error, ShotReport { load, ..ShotReport::default() });
     };
-    let (kept_tokens, prompt_tokens) =
+    let (cached_tokens, prompt_tokens) =
         usage.map_or((0, 0), |usage| (usage.cached_tokens, usage.prompt_tokens));
     ShotResult::Ended(
         Outcome::Read,
-        End { kept_tokens, prompt_tokens, load, state: Some(state.state_id), host, ..End::default() },
+        ShotReport {
+            cached_tokens,
+            prompt_tokens,
+            load,
+            state: Some(state.state_id),
+            host,
+            ..ShotReport::default()
+        },
     )
 }
 
--- a/crates/dispatcher/src/task.rs
+++ b/crates/dispatcher/src/task.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicU8, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use tulipstall::interface::Ran;
-use tulipstall_core::{Ask, TaskId};
+use tulipstall::interface::PossibleRun;
+use tulipstall_core::{TaskId, TaskRequest};
 use tulipstall_engine::Prompt;
 use tulipstall_net::Link;
 
@@ -28,14 +28,14 @@
     /// When the client stops waiting. It does not apply to an answer that has begun to stream.
     pub deadline: Instant,
     /// The client's request, kept so that it can be submitted again if the writer is lost.
-    pub ask: Ask,
+    pub request: TaskRequest,
     /// Number of this task on its connection. It tells messages about this task from late ones about an earlier task.
     pub ticket: u64,
     pub inbox: Sender<ConnectionMessage>,
     /// The task whose lost answer this one continues.
     pub continues: Option<Arc<Task>>,
     /// The first shot that may have run; set once its answer is lost.
-    ran: Mutex<Option<Ran>>,
+    ran: Mutex<Option<PossibleRun>>,
     packed_id: AtomicU64,
     answer: AtomicU32,
 }
@@ -44,18 +44,18 @@
     pub fn new(
         name: String,
         prompt: Prompt,
-        ask: Ask,
+        request: TaskRequest,
         ticket: u64,
         inbox: Sender<ConnectionMessage>,
     ) -> Self {
         let arrived = Instant::now();
         Task {
             name,
-            offering: ask.offering as usize,
+            offering: request.offering as usize,
             prompt,
             arrived,
-            deadline: arrived + ask.left,
-            ask,
+            deadline: arrived + request.time_left,
+            request,
             ticket,
             inbox,
             continues: None,
@@ -65,13 +65,13 @@
         }
     }
 
-    pub fn set_ran(&self, ran: Ran) {
+    pub fn set_ran(&self, ran: PossibleRun) {
         if let Ok(mut slot) = self.ran.lock() {
             *slot = Some(ran);
         }
     }
 
-    pub fn ran(&self) -> Option<Ran> {
+    pub fn ran(&self) -> Option<PossibleRun> {
         self.ran.lock().ok().and_then(|ran| *ran)
     }
 
@@ -182,7 +182,7 @@
         let close: Claim = Task::close;
         let (first, second): (Claim, Claim) = (|task| task.claim(0), |task| task.claim(1));
         for claims in [[close, first, second], [second, first, close], [first, close, second]] {
-            let task = Task::new("req_1".into(), Prompt::default(), Ask::default(), 1, channel().0);
+            let task = Task::new("req_1".into(), Prompt::default(), TaskRequest::default(), 1, channel().0);
             assert_eq!(claims.map(|claim| claim(&task)), [true, false, false]);
         }
     }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use tulipstall::interface::Outcome;
-use tulipstall_core::{End, Input, TaskId};
+use tulipstall_core::{Input, ShotReport, TaskId};
 use tulipstall_net::{Fault, Link, Reply, sockets_held};
 use tulipstall_platform::host::{self, ANSWER_LIMITS, AnswerKind, EventSplitter};
 use tulipstall_platform::reuse::ReuseHistory;
@@ -63,11 +63,11 @@
         self.in_flight_at = Some(endpoint.clone());
     }
 
-    pub fn close(mut self, outcome: Outcome, end: End) {
+    pub fn close(mut self, outcome: Outcome, end: ShotReport) {
         self.report(outcome, end);
     }
 
-    fn report(&mut self, outcome: Outcome, end: End) {
+    fn report(&mut self, outcome: Outcome, end: ShotReport) {
         self.reported = true;
         if let Some(endpoint) = self.in_flight_at.take() {
             endpoint.in_flight.fetch_sub(1, Ordering::Relaxed);
@@ -80,13 +80,13 @@
 impl Drop for EndReporter {
     fn drop(&mut self) {
         if !self.reported {
-            self.report(Outcome::Broken, End::default());
+            self.report(Outcome::Broken, ShotReport::default());
         }
     }
 }
 
 enum ShotResult {
-    Ended(Outcome, End),
+    Ended(Outcome, ShotReport),
     StreamBegun(Box<(Reply, EventSplitter, Vec<u8>, bool)>),
 }
 
@@ -172,13 +172,13 @@
     pub fn run(self, endpoint: Option<Arc<Endpoint>>) {
         let (shared, id, number) = (self.shared.clone(), self.id, self.number);
         let mut reporter = EndReporter { shared, id, number, reported: false, in_flight_at: None };
-        let Some(endpoint) = endpoint else { return reporter.close(Outcome::Moot, End::default()) };
+        let Some(endpoint) = endpoint else { return reporter.close(Outcome::Moot, ShotReport::default()) };
         let sent = Instant::now();
         let result = self.send(&endpoint, &mut reporter);
         self.handle.set_link(None);
         match result {
             Ok(ShotResult::Ended(outcome, end)) => {
-                self.record_end(&endpoint, outcome, sent, end.kept_tokens);
+                self.record_end(&endpoint, outcome, sent, end.cached_tokens);
                 reporter.close(outcome, end);
             }
             Err(outcome) => {
@@ -186,14 +186,14 @@
                 self.record_end(&endpoint, outcome, sent, 0);
                 // The host may have read the prompt all the same, and then it holds a state.
                 let state = (self.reads && !outcome.never_ran()).then(|| self.task.call.id.clone());
-                reporter.close(outcome, End { state, host: self.host, ..End::default() });
+                reporter.close(outcome, ShotReport { state, host: self.host, ..ShotReport::default() });
             }
             Ok(ShotResult::StreamBegun(stream)) => {
                 if !self.handle.begin() || !self.task.claim(self.number) {
                     // Another answer was first: this one is discarded, and the end of its connection informs
                     // the writer.
                     stream.0.link.shut();
-                    return reporter.close(Outcome::Cancelled, End::default());
+                    return reporter.close(Outcome::Cancelled, ShotReport::default());
                 }
                 self.record_end(&endpoint, Outcome::Delivered, sent, 0);
                 self.shared
@@ -290,10 +290,10 @@
             AnswerKind::Read => {
                 let body = reply.whole_body(self.until).map_err(outcome_without_answer)?;
                 return_to_pool(&self.shared, endpoint, reply);
-                let Some(kept_tokens) = host::cached_tokens(&body) else { return Err(Outcome::Error) };
+                let Some(cached_tokens) = host::cached_tokens(&body) else { return Err(Outcome::Error) };
                 let state = Some(task.call.id.clone());
-                let (prompt_tokens, host) = (task.ask.prompt_tokens, self.host);
-                let end = End { kept_tokens, prompt_tokens, state, host, ..End::default() };
+                let (prompt_tokens, host) = (task.request.prompt_tokens, self.host);
+                let end = ShotReport { cached_tokens, prompt_tokens, state, host, ..ShotReport::default() };
                 Ok(ShotResult::Ended(Outcome::Read, end))
             }
             AnswerKind::Ended(outcome) => {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -616,7 +616,7 @@
         let host = head.text("host").unwrap_or_default().to_owned();
         let reply_to = (Arc::downgrade(&self.client), self.sender.clone());
         let forwarded = ForwardedCall { target: head.target.clone(), host, id: call.id, key: call.key };
-        let task = Task::new(forwarded, call.ask, body, reply_to);
+        let task = Task::new(forwarded, call.request, body, reply_to);
         let task = Arc::new(task);
         shared.unsettled.fetch_add(1, Ordering::SeqCst);
         shared.owner_queue.send(OwnerMessage::TaskArrived(task.clone()));
@@ -629,7 +629,8 @@
             ("broken off", false)
         });
         let ms = task.arrived.elapsed().as_millis() as u64;
-        let (prompt, session, shared) = (task.ask.prompt_tokens, &task.ask.session, &task.ask.shared);
+        let (prompt, session, shared) =
+            (task.request.prompt_tokens, &task.request.session, &task.request.shared);
         let (session, shared) = (session.as_deref().unwrap_or(""), shared.as_deref().unwrap_or(""));
         tracing::debug!(id = task.call.id, answer, ms, prompt, session, shared, "task ended");
         keep_open
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -128,7 +128,7 @@
         let slot = id.slot as usize;
         self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
         self.tasks[slot] = Some(InHand { id, task: task.clone(), shots: Vec::new() });
-        self.core.arrive(now, id, &task.ask, outputs);
+        self.core.arrive(now, id, &task.request, outputs);
     }
 
     fn task_in_hand(&mut self, id: TaskId) -> Option<&mut InHand> {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -6,7 +6,7 @@
 use crate::front::Client;
 use std::time::Instant;
 use tulipstall::interface::Outcome;
-use tulipstall_core::End;
+use tulipstall_core::ShotReport;
 use tulipstall_http1::body::{LAST_CHUNK, write_chunk};
 use tulipstall_net::Fault;
 use tulipstall_platform::timeouts;
@@ -62,6 +62,6 @@
     } else {
         begun.reply.link.shut();
     }
-    begun.reporter.close(outcome, End::default());
+    begun.reporter.close(outcome, ShotReport::default());
     (result, whole)
 }
--- a/crates/node/src/task.rs
+++ b/crates/node/src/task.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU8, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, Weak};
 use std::time::Instant;
-use tulipstall_core::{Ask, TaskId};
+use tulipstall_core::{TaskId, TaskRequest};
 use tulipstall_net::Link;
 use tulipstall_platform::host::ForwardedCall;
 
@@ -24,7 +24,7 @@
     pub call: ForwardedCall,
     /// The request's body, until an answer has begun.
     body: Mutex<Option<Arc<Vec<u8>>>>,
-    pub ask: Ask,
+    pub request: TaskRequest,
     pub arrived: Instant,
     /// A weak reference: the connection ends with its coroutines, whatever attempts are still pending.
     client: Weak<Client>,
@@ -36,13 +36,13 @@
 impl Task {
     pub fn new(
         call: ForwardedCall,
-        ask: Ask,
+        request: TaskRequest,
         body: Vec<u8>,
         (client, inbox): (Weak<Client>, Sender<Message>),
     ) -> Self {
         let body = Mutex::new(Some(Arc::new(body)));
         let (packed_id, answer) = (AtomicU64::new(u64::MAX), AtomicU32::new(OPEN));
-        Task { call, body, ask, arrived: Instant::now(), client, inbox, packed_id, answer }
+        Task { call, body, request, arrived: Instant::now(), client, inbox, packed_id, answer }
     }
 
     pub fn set_id(&self, id: TaskId) {
--- a/crates/node/src/task/tests.rs
+++ b/crates/node/src/task/tests.rs
@@ -10,8 +10,8 @@
     for (claims, prompt) in
         [([close, first, second], true), ([second, first, close], false), ([first, close, second], false)]
     {
-        let (call, ask) = (ForwardedCall::default(), Ask::default());
-        let task = Task::new(call, ask, vec![1], (Weak::new(), channel().0));
+        let (call, request) = (ForwardedCall::default(), TaskRequest::default());
+        let task = Task::new(call, request, vec![1], (Weak::new(), channel().0));
         assert_eq!(claims.map(|claim| claim(&task)), [true, false, false]);
         assert_eq!(task.body().is_some(), prompt);
     }
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -5,7 +5,7 @@
 use serde::de::IgnoredAny;
 use std::time::Duration;
 use tulipstall::interface::Config;
-use tulipstall_core::Ask;
+use tulipstall_core::TaskRequest;
 use tulipstall_http1::Head;
 
 /// Target of completion requests.
@@ -83,7 +83,7 @@
     pub id: String,
     /// Forwarded unchanged with every attempt.
     pub key: Option<String>,
-    pub ask: Ask,
+    pub request: TaskRequest,
 }
 
 /// The part of the body that is checked here. The hosts read the rest.
@@ -165,18 +165,22 @@
         .and_then(parse_number)
         .filter(|us| *us > 0)
         .map(Duration::from_micros);
-    let ask = Ask {
+    let request = TaskRequest {
         offering: offering as u32,
         customer: customer.map(|customer| customer as u32),
         session: bounded_name(single_header(head, SESSION_HEADER)?)?,
         shared: bounded_name(shared)?,
-        left: Duration::from_millis(time_left_ms).min(deadline),
-        hint,
+        time_left: Duration::from_millis(time_left_ms).min(deadline),
+        expected_duration: hint,
         prompt_tokens: capped(token_counts[0]),
         shared_tokens: capped(token_counts[1]),
-        most_tokens: capped(token_counts[2]),
-        again: single_header(head, RESENT_HEADER)?.is_some(),
-        ..Ask::default()
+        max_answer_tokens: capped(token_counts[2]),
+        is_repeat: single_header(head, RESENT_HEADER)?.is_some(),
+        ..TaskRequest::default()
     };
-    Ok(Call { id: id.to_owned(), key: single_header(head, IDEMPOTENCY_KEY_HEADER)?.map(str::to_owned), ask })
+    Ok(Call {
+        id: id.to_owned(),
+        key: single_header(head, IDEMPOTENCY_KEY_HEADER)?.map(str::to_owned),
+        request,
+    })
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -184,7 +184,7 @@
 /// A shot that may have run at a server. A task that continues an interrupted answer carries the one of the earlier
 /// task, since that shot limits which further attempts are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct PossibleRun {
     pub host: u32,
     pub sent: Duration,
 }
@@ -202,19 +202,23 @@
     /// The start of the prompt that several sessions have in common.
     pub shared: Option<CacheKey>,
     /// Time left until the client gives up on this request.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub time_left: Duration,
     /// Rough estimate of the answer's length, as time at the offering's token rate.
-    pub hint: Option<Duration>,
+    #[serde(rename = "hint")]
+    pub expected_duration: Option<Duration>,
     pub prompt_tokens: u32,
     /// Length of the shared start of the prompt.
     pub shared_tokens: u32,
     /// Upper limit for the tokens of the answer.
-    pub most_tokens: u32,
+    #[serde(rename = "most_tokens")]
+    pub max_answer_tokens: u32,
     /// The client repeats a request that it has made before.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub is_repeat: bool,
     /// The first shot that may have run of the interrupted answer that this task continues.
-    #[serde(default)]
-    pub ran: Option<Ran>,
+    #[serde(rename = "ran", default)]
+    pub earlier_run: Option<PossibleRun>,
 }
 
 /// The end of a shot.
@@ -227,7 +231,8 @@
     /// The task had already ended, or ends with this shot.
     pub finished: bool,
     /// Prompt tokens that the server found in its prefix cache.
-    pub kept_tokens: u32,
+    #[serde(rename = "kept_tokens")]
+    pub cached_tokens: u32,
     pub load: Option<LoadReport>,
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -12,7 +12,7 @@
 //! started and is ramped up by a send budget. `t` is the index of a task, `h` that of a host.
 
 use crate::interface::{
-    Action, CacheKey, Closed, Config, Event, HostStatus, ListedHost, LoadReport, Order, Outcome, Ran,
+    Action, CacheKey, Closed, Config, Event, HostStatus, ListedHost, LoadReport, Order, Outcome, PossibleRun,
     ReleaseReason, Role,
 };
 use crate::release::release_after;
@@ -220,17 +220,17 @@
                 ),
             wait_until: now + Duration::from_secs_f64(offering_terms.agreed_seconds / 2.0),
             // 4 ms, a tick or two, inside the client's own time limit.
-            deadline: now + order.left.saturating_sub(Duration::from_millis(4)),
-            output_tokens: match order.hint {
+            deadline: now + order.time_left.saturating_sub(Duration::from_millis(4)),
+            output_tokens: match order.expected_duration {
                 Some(hint) => (hint.as_secs_f64() / offering_terms.output_seconds_per_token)
-                    .min(f64::from(order.most_tokens.max(1))),
-                None => f64::from(order.most_tokens) / 2.0,
+                    .min(f64::from(order.max_answer_tokens.max(1))),
+                None => f64::from(order.max_answer_tokens) / 2.0,
             },
             shots,
             reported_cached: self.next_reported_cached.take(),
             // This task continues a lost answer: the shot that was lost restricts the next ones as one of its
             // own would.
-            prior_shot: order.ran.map(|Ran { host, sent }| Shot {
+            prior_shot: order.earlier_run.map(|PossibleRun { host, sent }| Shot {
                 host,
                 listed: self.hosts.get(host as usize).map(|host| host.listed).unwrap_or_default(),
                 sent_at: sent,
@@ -360,7 +360,7 @@
             self.pending_note = Some((shot.host, if host.suspected { "suspected" } else { "answers again" }));
         }
         if !shot.failed && shot.phase != Phase::Write {
-            let read_tokens = order.prompt_tokens.saturating_sub(closed.kept_tokens);
+            let read_tokens = order.prompt_tokens.saturating_sub(closed.cached_tokens);
             self.uncached_ratio.add(
                 f64::from(read_tokens),
                 f64::from(order.prompt_tokens),
@@ -369,7 +369,7 @@
             if session_home == Some(shot.host) {
                 let beyond_shared = |tokens: u32| f64::from(tokens.saturating_sub(order.shared_tokens));
                 self.home_hit_ratio.add(
-                    beyond_shared(closed.kept_tokens),
+                    beyond_shared(closed.cached_tokens),
                     beyond_shared(order.prompt_tokens),
                     POOLED_RATIO_RETENTION,
                 );
@@ -377,7 +377,7 @@
             // Compares the host's report with the estimate: a host that has evicted one text has probably
             // evicted more.
             if shot.estimated_cached_tokens > 0 {
-                let found_cached = closed.kept_tokens.min(shot.estimated_cached_tokens);
+                let found_cached = closed.cached_tokens.min(shot.estimated_cached_tokens);
                 host.cache_hit_ratio.add(
                     f64::from(found_cached),
                     f64::from(shot.estimated_cached_tokens),
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -90,20 +90,20 @@
             customer: Some(0),
             session,
             shared: None,
-            left: ms(4000),
-            hint: None,
+            time_left: ms(4000),
+            expected_duration: None,
             prompt_tokens,
             shared_tokens: 0,
-            most_tokens: 200,
-            again: false,
-            ran: None,
+            max_answer_tokens: 200,
+            is_repeat: false,
+            earlier_run: None,
         };
         self.on_event(at, Event::Order(order))
     }
 
     pub fn close_shot(&mut self, at: u64, task: u32, shot: u32, outcome: Outcome) -> Vec<Action> {
         let finished = outcome == Delivered;
-        let closed = Closed { task, shot, outcome, finished, kept_tokens: 0, load: None };
+        let closed = Closed { task, shot, outcome, finished, cached_tokens: 0, load: None };
         self.on_event(at, Event::Closed(closed))
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use tulipstall::Rules;
 use tulipstall::interface::Outcome::*;
 use tulipstall::interface::{
-    Action, CacheKey, Closed, Config, Event, HostStatus, LoadReport, Order, Outcome, Ran, Role,
+    Action, CacheKey, Closed, Config, Event, HostStatus, LoadReport, Order, Outcome, PossibleRun, Role,
 };
 
 #[test]
@@ -144,8 +144,14 @@
         harness.list_host(0, 1, HostStatus::Draining, None);
         harness.send_order(3990, 50, 50, 9000);
         harness.list_host(2, 1, HostStatus::Running, None);
-        let ran = Some(Ran { host: 2, sent: ms(4000 - ago) });
-        let order = |task| Order { task, ran, left: ms(4000), prompt_tokens: 500, ..Order::default() };
+        let ran = Some(PossibleRun { host: 2, sent: ms(4000 - ago) });
+        let order = |task| Order {
+            task,
+            earlier_run: ran,
+            time_left: ms(4000),
+            prompt_tokens: 500,
+            ..Order::default()
+        };
         let out = harness.on_event(4000, Event::Order(order(9)));
         assert_eq!(sent_host(&out), reader, "{effect} {group} {ago}");
         assert_eq!(action_letters(&out).replace('S', ""), answer, "{effect} {group} {ago}");
@@ -159,7 +165,7 @@
             assert_eq!(reader, 0);
             assert_eq!(sent_host(&harness.close_shot(4010, 9, 0, Read)), Some(2));
             harness.list_host(4020, 2, HostStatus::Draining, None);
-            let out = harness.on_event(4021, Event::Order(Order { left: ms(3000), ..order(10) }));
+            let out = harness.on_event(4021, Event::Order(Order { time_left: ms(3000), ..order(10) }));
             assert_eq!(sent_host(&out), Some(0));
             let mut out = harness.close_shot(4022, 10, 0, Read);
             for at in (4030..4700).step_by(10) {
@@ -619,14 +625,14 @@
             harness.rules = Rules::new(seed, &Config::default());
             harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
             let key = Some(CacheKey { slot: 0, generation: 1, hash: text * 31 + 7 });
-            let left = ms(4000);
+            let time_left = ms(4000);
             let session = Some(CacheKey { slot: 0, generation: 1, hash: 99 + text });
             let order = Order {
                 session,
                 shared: key,
                 shared_tokens: 900,
                 prompt_tokens: 1000,
-                left,
+                time_left,
                 ..Order::default()
             };
             readers.extend(sent_host(&harness.on_event(1, Event::Order(order))));
@@ -649,8 +655,9 @@
                 let mut harness = Harness::new(&[("dispatchers", "300"), ("me", own.as_str())], &fleet);
                 let key = |hash: u64| Some(CacheKey { slot: 0, generation: 1, hash: hash * 31 + 7 });
                 let (session, shared) = (key(1000 + text * 100 + me), key(text));
-                let (shared_tokens, prompt_tokens, left) = (900, 1000, ms(4000));
-                let order = Order { session, shared, shared_tokens, prompt_tokens, left, ..Order::default() };
+                let (shared_tokens, prompt_tokens, time_left) = (900, 1000, ms(4000));
+                let order =
+                    Order { session, shared, shared_tokens, prompt_tokens, time_left, ..Order::default() };
                 sent_host(&harness.on_event(1, Event::Order(order)))
             })
             .collect();
@@ -680,7 +687,7 @@
                         shared: key(if i == 59 { text } else { 100 + me * 100 + u64::from(i) }),
                         shared_tokens: 900,
                         prompt_tokens: 1000,
-                        left: ms(4000),
+                        time_left: ms(4000),
                         ..Order::default()
                     };
                     let reader = sent_host(&harness.on_event(u64::from(i) * 400, Event::Order(order)));
@@ -725,7 +732,7 @@
             harness.send_order(at, i, i, 5000);
             let outcome = Read;
             let closed =
-                Closed { task: i, shot: 0, outcome, finished: false, kept_tokens: found, load: None };
+                Closed { task: i, shot: 0, outcome, finished: false, cached_tokens: found, load: None };
             harness.on_event(at + 30, Event::Closed(closed));
             harness.on_event(at + 40, Event::Started { task: i, shot: 1 });
             harness.close_shot(at + 45, i, 1, Delivered);
@@ -760,7 +767,8 @@
             load.values[0] = if i == 29 { report } else { 0.0 };
             let task = i as u32;
             let load = Some(load);
-            let closed = Closed { task, shot: 0, outcome: Read, finished: false, kept_tokens: cached, load };
+            let closed =
+                Closed { task, shot: 0, outcome: Read, finished: false, cached_tokens: cached, load };
             harness.on_event(i * 100 + 20, Event::Closed(closed));
             harness.on_event(i * 100 + 30, Event::Started { task, shot: 1 });
             harness.close_shot(i * 100 + 40, task, 1, Delivered);
@@ -1151,9 +1159,9 @@
             [(READER, 0), (READER, 0), (READER, 0), (WRITER, 0), (WRITER, 0), (WRITER, 0), (MIXED, 0)];
         let mut harness = Harness::new(&[], &fleet);
         let key = |hash: u64| Some(CacheKey { slot: 0, generation: 1, hash });
-        let (session, shared, left) = (key(text * 7 + 1), key(text * 31 + 7), ms(4000));
+        let (session, shared, time_left) = (key(text * 7 + 1), key(text * 31 + 7), ms(4000));
         let order =
-            Order { session, shared, shared_tokens: 900, prompt_tokens: 1000, left, ..Order::default() };
+            Order { session, shared, shared_tokens: 900, prompt_tokens: 1000, time_left, ..Order::default() };
         let actions = harness.on_event(0, Event::Order(order));
         assert!(sent_host(&actions).is_some(), "{actions:?}");
         whole += u32::from(sent_host(&actions) == Some(6));
