--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -103,9 +103,9 @@
         let task = self.names.tasks.find(fields.require("the task")?);
         fields.next();
         fields.next();
-        let held = fields.integer_or("the reservation's answer", 0)? == 1;
+        let granted = fields.integer_or("the reservation's answer", 0)? == 1;
         if let Some(task) = task {
-            self.apply_event(clock, &Event::Place { task, held }, reply);
+            self.apply_event(clock, &Event::Reservation { task, granted }, reply);
         }
         Ok(())
     }
@@ -138,7 +138,7 @@
         self.apply_event(clock, &Event::ListFailed, reply);
     }
 
-    pub fn list(&mut self, clock: u64, whole: bool, rows: &[HostRow], reply: &mut String) {
+    pub fn list(&mut self, clock: u64, complete: bool, rows: &[HostRow], reply: &mut String) {
         let mut listed = Vec::with_capacity(rows.len());
         for row in rows {
             let uptime = clock.saturating_sub(row.online_since);
@@ -151,10 +151,10 @@
             };
             listed.extend(self.names.resolve(&row.host, &row.kind, &row.zone, line));
         }
-        if whole {
+        if complete {
             self.names.hosts.retain_listed(&listed);
         }
-        self.apply_event(clock, &Event::Hosts { whole, listed }, reply);
+        self.apply_event(clock, &Event::Hosts { complete, listed }, reply);
     }
 
     /// Passes an event to the decisions and appends the resulting actions to the reply.
@@ -176,8 +176,8 @@
         let clock = |at: Duration| self.origin + at.as_micros() as u64;
         // Writing to a string cannot fail.
         let _ = match *action {
-            Action::Send { task: t, host: h, until, .. } => match (task(t), host(h)) {
-                (Some(t), Some(h)) => writeln!(reply, "SUBMIT_TO {instance} {t} {} {h}", clock(until)),
+            Action::Send { task: t, host: h, deadline, .. } => match (task(t), host(h)) {
+                (Some(t), Some(h)) => writeln!(reply, "SUBMIT_TO {instance} {t} {} {h}", clock(deadline)),
                 _ => Ok(()),
             },
             Action::Cancel { task: t, shot } => match task(t) {
@@ -188,7 +188,7 @@
                 Some(t) => writeln!(reply, "UNHOLD {instance} {t}"),
                 None => Ok(()),
             },
-            Action::Bounce { task: t, come_back } => match (task(t), come_back) {
+            Action::Bounce { task: t, retry_after } => match (task(t), retry_after) {
                 (Some(t), Some(after)) => writeln!(reply, "DECLINE {instance} {t} {}", after.as_micros()),
                 (Some(t), None) => writeln!(reply, "DECLINE {instance} {t} -"),
                 (None, _) => Ok(()),
@@ -197,12 +197,12 @@
                 Some(t) => writeln!(reply, "SURRENDER {instance} {t}"),
                 None => Ok(()),
             },
-            Action::Move { task: t } => match task(t) {
+            Action::EndStream { task: t } => match task(t) {
                 Some(t) => writeln!(reply, "RELOCATE {instance} {t}"),
                 None => Ok(()),
             },
             Action::Timer { at, token } => writeln!(reply, "REMIND {instance} {} {token}", clock(at)),
-            Action::AskList => writeln!(reply, "TAIL {instance} 1"),
+            Action::RequestHostList => writeln!(reply, "TAIL {instance} 1"),
             Action::Note { host: h, what } => {
                 writeln!(reply, "REMARK {instance} {} {what}", host(h).unwrap_or("a host"))
             }
--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -209,7 +209,11 @@
             uptime: None,
             status: tulipstall::interface::HostStatus::Running,
         };
-        core.on(Duration::ZERO, Input::Listed { whole: true, rows: (0..hosts).map(row).collect() }, &mut out);
+        core.on(
+            Duration::ZERO,
+            Input::HostList { complete: true, rows: (0..hosts).map(row).collect() },
+            &mut out,
+        );
         let began = Instant::now();
         let mut tasks = 0u32;
         while began.elapsed() < Duration::from_secs(1) {
@@ -227,12 +231,12 @@
                 ..TaskRequest::default()
             };
             core.arrive(now, task, &request, &mut out);
-            while let Some(Output::Send { shot, errand, .. }) = out.pop() {
-                let is_read = errand == tulipstall_core::Errand::Read;
+            while let Some(Output::Send { shot, kind, .. }) = out.pop() {
+                let is_read = kind == tulipstall_core::ShotKind::Read;
                 let (outcome, state) =
                     if is_read { (Outcome::Read, Some("s".to_owned())) } else { (Outcome::Delivered, None) };
                 if !is_read {
-                    core.on(now, Input::Began { task, shot }, &mut out);
+                    core.on(now, Input::AnswerBegan { task, shot }, &mut out);
                 }
                 core.on(
                     now,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -102,30 +102,30 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A host list was received.
-    Listed {
+    HostList {
         /// The list is complete: hosts that are not on it are gone. Otherwise it holds changes only.
-        whole: bool,
+        complete: bool,
         rows: Vec<HostRow>,
     },
     /// The answer of a shot has begun.
-    Began { task: TaskId, shot: u32 },
+    AnswerBegan { task: TaskId, shot: u32 },
     /// A shot has ended.
     Closed { task: TaskId, shot: u32, outcome: Outcome, end: ShotReport },
     /// The client closed its connection, or the task was aborted from outside: it needs no answer.
-    Gone { task: TaskId },
+    ClientGone { task: TaskId },
     /// Time has passed: expires timers.
     Tick,
 }
 
 /// The work of a shot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Errand {
+pub enum ShotKind {
     /// Prefill the prompt and hold the state for a writer.
     Read,
     /// Fetch the state from its reader and stream the answer.
     Write,
     /// Prefill the prompt and stream the answer at one host.
-    Whole,
+    ReadAndWrite,
 }
 
 /// An output of [`Core`], to be carried out by its caller.
@@ -136,11 +136,11 @@
         task: TaskId,
         shot: u32,
         host: u32,
-        errand: Errand,
+        kind: ShotKind,
         /// Deadline of the shot.
-        until: Duration,
+        deadline: Duration,
         /// Latest time to send the first byte; after that the shot is not sent at all.
-        begin_by: Duration,
+        send_by: Duration,
         /// The state to fetch.
         held: Option<HeldState>,
     },
@@ -151,14 +151,14 @@
         held: HeldState,
         /// The reader reported the state. Otherwise it is only possible that the state exists, and it may still be created
         /// later if the reader cannot be reached.
-        sure: bool,
+        confirmed: bool,
         reason: ReleaseReason,
     },
     /// Reject the request, with the advice that a repeat is safe.
     Bounce {
         task: TaskId,
         /// Delay to suggest to the client before it retries.
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Abort the request: a shot may have had an effect that must not occur twice.
     BreakOff { task: TaskId },
@@ -166,7 +166,7 @@
     Note { host: u32, what: &'static str },
     /// The first shot of the task that may have run, as known so far. A request that continues the answer of this task
     /// passes it on in [`TaskRequest::earlier_run`].
-    Ran { task: TaskId, ran: PossibleRun },
+    FirstPossibleRun { task: TaskId, run: PossibleRun },
     /// The task is over and no further output names it.
     Forget { task: TaskId },
 }
@@ -217,10 +217,10 @@
     }
 
     /// Notes a shot that may have run. Returns whether it is now the first one.
-    fn note_possible_run(&mut self, ran: PossibleRun) -> bool {
-        let first = self.first_possible_run.is_none_or(|first| ran.sent < first.sent);
+    fn note_possible_run(&mut self, run: PossibleRun) -> bool {
+        let first = self.first_possible_run.is_none_or(|first| run.sent < first.sent);
         if first {
-            self.first_possible_run = Some(ran);
+            self.first_possible_run = Some(run);
         }
         first
     }
@@ -472,7 +472,7 @@
         if let Some(entry) = self.entries.get_mut(task.slot as usize) {
             entry.estimated_blocks.extend(self.cached.iter().map(|kept| (kept.host, kept.blocks)));
         }
-        self.apply_event(now, Event::Kept { kept: estimates }, out);
+        self.apply_event(now, Event::CachedPrompt { cached: estimates }, out);
     }
 
     /// A prompt was read at a host. Compares the cached part that the host reported with the estimate; the host has all of
@@ -500,15 +500,15 @@
         self.tick(now, out);
         match input {
             Input::Tick => {}
-            Input::Listed { whole, rows } => self.update_hosts(now, whole, rows, out),
-            Input::Gone { task } => {
+            Input::HostList { complete, rows } => self.update_hosts(now, complete, rows, out),
+            Input::ClientGone { task } => {
                 let Some(entry) = self.entry(task).filter(|entry| !entry.ended) else { return };
                 entry.ended = true;
                 self.counts.client_left += 1;
                 self.cancel_shots(task, None, out);
                 self.apply_event(now, Event::ClientGone { task: task.slot }, out);
             }
-            Input::Began { task, shot } => self.answer_began(now, task, shot, out),
+            Input::AnswerBegan { task, shot } => self.answer_began(now, task, shot, out),
             Input::Closed { task, shot, outcome, end } => {
                 self.shot_closed(now, task, shot, outcome, end, out)
             }
@@ -542,8 +542,8 @@
         self.shot_closed(now, task, shot, Outcome::TimedOut, ShotReport::default(), out);
     }
 
-    fn update_hosts(&mut self, now: Duration, whole: bool, rows: Vec<HostRow>, out: &mut Vec<Output>) {
-        if whole {
+    fn update_hosts(&mut self, now: Duration, complete: bool, rows: Vec<HostRow>, out: &mut Vec<Output>) {
+        if complete {
             self.process_starts.iter_mut().for_each(|(_, listed)| *listed = false);
         }
         let mut listed = Vec::with_capacity(rows.len());
@@ -561,10 +561,10 @@
             self.update_process_start(now, &line);
             listed.push(line);
         }
-        if whole {
+        if complete {
             self.names.hosts.retain_listed(&listed);
         }
-        self.apply_event(now, Event::Hosts { whole, listed }, out);
+        self.apply_event(now, Event::Hosts { complete, listed }, out);
     }
 
     /// Clears the cache index of a host whose process has restarted, or may have restarted while the host was gone.
@@ -603,9 +603,9 @@
             return;
         }
         entry.answering_shot = Some(shot);
-        let ran =
+        let run =
             PossibleRun { host: entry.shots[shot as usize].host, sent: entry.shots[shot as usize].sent };
-        out.extend(entry.note_possible_run(ran).then_some(Output::Ran { task, ran }));
+        out.extend(entry.note_possible_run(run).then_some(Output::FirstPossibleRun { task, run }));
         // The writer has fetched the state.
         entry.held = None;
         entry.released_under_attempt = None;
@@ -626,8 +626,8 @@
         let held = state.map(|state| HeldState { host: end.host, state, cached_tokens: end.cached_tokens });
         let Some(entry) = self.entry(task) else {
             // The shot was overdue and its slot may have been reused, so the state has to be released here.
-            let (sure, reason) = (outcome == Outcome::Read, ReleaseReason::Ended);
-            return out.extend(held.map(|held| Output::Release { held, sure, reason }));
+            let (confirmed, reason) = (outcome == Outcome::Read, ReleaseReason::Ended);
+            return out.extend(held.map(|held| Output::Release { held, confirmed, reason }));
         };
         let (ended, answering, offering) = (entry.ended, entry.answering_shot, entry.offering as usize);
         let Some(closed_shot) = entry.shots.get_mut(shot as usize).filter(|shot| shot.active) else {
@@ -636,8 +636,8 @@
         closed_shot.active = false;
         let (host, is_read) = (closed_shot.host, closed_shot.is_read);
         if !closed_shot.is_read && !outcome.never_ran() {
-            let ran = PossibleRun { host, sent: closed_shot.sent };
-            out.extend(entry.note_possible_run(ran).then_some(Output::Ran { task, ran }));
+            let run = PossibleRun { host, sent: closed_shot.sent };
+            out.extend(entry.note_possible_run(run).then_some(Output::FirstPossibleRun { task, run }));
         }
         let combined = outcome == Outcome::Delivered && entry.last_combined_shot == Some(shot);
         if (is_read && outcome == Outcome::Read) || combined {
@@ -707,25 +707,25 @@
             TaskId { slot, generation }
         };
         match action {
-            Action::Send { task: slot, host, until, begin_by } => {
+            Action::Send { task: slot, host, deadline, send_by } => {
                 let task = id(&self.entries, slot);
                 let role = self.host_roles.get(host as usize).copied().unwrap_or_default();
                 let Some(entry) = self.entry(task) else { return };
                 let shot = entry.shots.len() as u32;
                 let held = entry.held.clone();
-                let errand = match (role, &held) {
-                    (Role::Reader, _) => Errand::Read,
-                    (_, Some(_)) => Errand::Write,
-                    (_, None) => Errand::Whole,
+                let kind = match (role, &held) {
+                    (Role::Reader, _) => ShotKind::Read,
+                    (_, Some(_)) => ShotKind::Write,
+                    (_, None) => ShotKind::ReadAndWrite,
                 };
-                let is_read = errand == Errand::Read;
+                let is_read = kind == ShotKind::Read;
                 entry.shots.push(Shot { host, sent: now, is_read, active: true, answer_began: false });
                 entry.last_combined_shot =
-                    if errand == Errand::Whole { Some(shot) } else { entry.last_combined_shot };
+                    if kind == ShotKind::ReadAndWrite { Some(shot) } else { entry.last_combined_shot };
                 self.counts.shots += 1;
-                self.overdue_at.push(Reverse((until + OVERDUE_GRACE, slot, task.generation, shot)));
-                let until = until.max(now);
-                out.push(Output::Send { task, shot, host, errand, until, begin_by, held });
+                self.overdue_at.push(Reverse((deadline + OVERDUE_GRACE, slot, task.generation, shot)));
+                let deadline = deadline.max(now);
+                out.push(Output::Send { task, shot, host, kind, deadline, send_by, held });
             }
             Action::Cancel { task, shot } => out.push(Output::Cancel { task: id(&self.entries, task), shot }),
             Action::Release { task, reason } => {
@@ -740,13 +740,13 @@
                 let not_held =
                     |other: &&HeldState| held.as_ref().is_none_or(|held| held.state != other.state);
                 let all = unconfirmed.iter().filter(not_held).cloned().chain(held.clone());
-                out.extend(all.map(|held| Output::Release { held, sure: true, reason }));
+                out.extend(all.map(|held| Output::Release { held, confirmed: true, reason }));
             }
-            Action::Bounce { task, come_back } => {
+            Action::Bounce { task, retry_after } => {
                 let task = id(&self.entries, task);
                 if self.set_ended(task) {
                     self.counts.bounced += 1;
-                    out.push(Output::Bounce { task, come_back });
+                    out.push(Output::Bounce { task, retry_after });
                 }
             }
             Action::BreakOff { task } => {
@@ -768,14 +768,14 @@
                     let reason = ReleaseReason::Ended;
                     out.extend(unconfirmed.into_iter().map(|held| Output::Release {
                         held,
-                        sure: false,
+                        confirmed: false,
                         reason,
                     }));
                     out.push(Output::Forget { task });
                 }
             }
             // Lists are pushed or read from a file, and no deployment moves streams yet.
-            Action::AskList | Action::Move { .. } => {}
+            Action::RequestHostList | Action::EndStream { .. } => {}
         }
     }
 
@@ -816,7 +816,7 @@
     /// A task gets one final answer at most, for each order of the two ways to end it.
     #[test]
     fn a_task_gets_one_final_answer() {
-        let bounce = |task| Action::Bounce { task, come_back: None };
+        let bounce = |task| Action::Bounce { task, retry_after: None };
         let break_off = |task| Action::BreakOff { task };
         type Ends = fn(u32) -> Action;
         let ends: [Ends; 2] = [bounce, break_off];
@@ -835,7 +835,7 @@
         for end in ends {
             let (mut core, mut out) = (Core::new(1, Config::default()), Vec::new());
             let task = core.enter();
-            core.on(Duration::ZERO, Input::Gone { task }, &mut out);
+            core.on(Duration::ZERO, Input::ClientGone { task }, &mut out);
             core.apply_action(Duration::ZERO, end(task.slot), &mut out);
             assert!(out.is_empty(), "{out:?}");
         }
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -4,7 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tulipstall::interface::{Config, ConfigValue, HostStatus, Outcome, PossibleRun};
-use tulipstall_core::{Core, Errand, HostRow, Input, Lines, Output, ShotReport, TaskId, TaskRequest, replay};
+use tulipstall_core::{
+    Core, HostRow, Input, Lines, Output, ShotKind, ShotReport, TaskId, TaskRequest, replay,
+};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -54,7 +56,7 @@
             row("w1", "decode", HostStatus::Running),
             row("w2", "decode", HostStatus::Running),
         ];
-        harness.on(Input::Listed { whole: true, rows });
+        harness.on(Input::HostList { complete: true, rows });
         harness
     }
 
@@ -84,7 +86,7 @@
     /// Starts a task and completes its read, so that the shot at a writer is in progress.
     fn finish_read(&mut self) -> (TaskId, Vec<Output>) {
         let (task, out) = self.start_task();
-        assert!(matches!(out[0], Output::Send { errand: Errand::Read, .. }));
+        assert!(matches!(out[0], Output::Send { kind: ShotKind::Read, .. }));
         let out = self.close(task, 0, Outcome::Read);
         (task, out)
     }
@@ -104,9 +106,11 @@
     out.iter().filter(|o| matches!(o, Output::Send { .. })).count()
 }
 
-/// The hosts named by [`Output::Ran`].
+/// The hosts named by [`Output::FirstPossibleRun`].
 fn possible_run_hosts(out: &[Output]) -> Vec<u32> {
-    out.iter().filter_map(|o| if let Output::Ran { ran, .. } = o { Some(ran.host) } else { None }).collect()
+    out.iter()
+        .filter_map(|o| if let Output::FirstPossibleRun { run: ran, .. } = o { Some(ran.host) } else { None })
+        .collect()
 }
 
 fn sent_to(out: &[Output]) -> u32 {
@@ -123,11 +127,11 @@
 fn a_state_is_passed_to_the_writer_with_its_reader() {
     let mut harness = Harness::new("replayable");
     let (task, out) = harness.finish_read();
-    let Some(Output::Send { errand: Errand::Write, held: Some(held), .. }) = out.first() else {
+    let Some(Output::Send { kind: ShotKind::Write, held: Some(held), .. }) = out.first() else {
         panic!("{out:?}")
     };
     assert_eq!((held.host, held.state.as_str()), (0, "s0"));
-    assert_eq!(possible_run_hosts(&harness.on(Input::Began { task, shot: 1 })), [sent_to(&out)]);
+    assert_eq!(possible_run_hosts(&harness.on(Input::AnswerBegan { task, shot: 1 })), [sent_to(&out)]);
     let out = harness.close(task, 1, Outcome::Delivered);
     assert_eq!(out, vec![Output::Forget { task }]);
     let counts = harness.core.counts();
@@ -170,13 +174,13 @@
     let mut harness = Harness::new("replayable");
     let (task, _) = harness.finish_read();
     // The host is removed from the list and the shot is cancelled.
-    let out = harness.on(Input::Listed {
-        whole: false,
+    let out = harness.on(Input::HostList {
+        complete: false,
         rows: vec![row("w1", "decode", HostStatus::Gone), row("w2", "decode", HostStatus::Gone)],
     });
     assert!(out.contains(&Output::Cancel { task, shot: 1 }), "{out:?}");
     // Before the shot has ended, its answer begins: the client gets that answer, and no other shot follows.
-    let out = harness.on(Input::Began { task, shot: 1 });
+    let out = harness.on(Input::AnswerBegan { task, shot: 1 });
     assert!(out.len() == 1 && possible_run_hosts(&out).len() == 1, "{out:?}");
     let mut out = harness.run_until(ms(10_000));
     out.extend(harness.close(task, 1, Outcome::Delivered));
@@ -189,7 +193,7 @@
 fn the_state_of_a_late_read_is_released() {
     let mut harness = Harness::new("replayable");
     let (task, _) = harness.start_task();
-    let out = harness.on(Input::Gone { task });
+    let out = harness.on(Input::ClientGone { task });
     assert!(out.contains(&Output::Cancel { task, shot: 0 }), "{out:?}");
     let out = harness.close(task, 0, Outcome::Read);
     let released = out.iter().any(|o| matches!(o, Output::Release { held, .. } if held.state == "s0"));
@@ -203,7 +207,7 @@
 fn unconfirmed_states_of_reads_are_released() {
     let released = |out: &[Output]| -> Vec<(String, bool)> {
         let name = |o: &Output| match o {
-            Output::Release { held, sure, .. } => Some((held.state.clone(), *sure)),
+            Output::Release { held, confirmed: sure, .. } => Some((held.state.clone(), *sure)),
             _ => None,
         };
         out.iter().filter_map(name).collect()
@@ -225,11 +229,11 @@
         let mut out = harness.close(task, 1, Outcome::NoState);
         assert_eq!((released(&out), sent_to(&out)), (vec![], 0));
         if gone {
-            out = harness.on(Input::Gone { task });
+            out = harness.on(Input::ClientGone { task });
             out.extend(harness.close(task, 2, Outcome::Cancelled));
         } else {
             out = harness.close(task, 2, Outcome::Read);
-            harness.on(Input::Began { task, shot: 3 });
+            harness.on(Input::AnswerBegan { task, shot: 3 });
             out.extend(harness.close(task, 3, Outcome::Delivered));
         }
         assert_eq!(released(&out), [("s0".to_owned(), false)], "{out:?}");
@@ -244,7 +248,7 @@
             out.extend(harness.on(Input::Closed { task, shot, outcome, end }));
         }
         assert!(released(&out).is_empty(), "{outcome:?}: {out:?}");
-        let out = harness.on(Input::Gone { task });
+        let out = harness.on(Input::ClientGone { task });
         let out = [out, harness.close(task, 2, Outcome::Cancelled)].concat();
         assert_eq!(released(&out), [("s".to_owned(), false)], "{outcome:?}: {out:?}");
         assert_eq!(out.last(), Some(&Output::Forget { task }));
@@ -256,15 +260,15 @@
 fn late_inputs_are_ignored() {
     let mut harness = Harness::new("replayable");
     let (task, _) = harness.finish_read();
-    harness.on(Input::Began { task, shot: 1 });
+    harness.on(Input::AnswerBegan { task, shot: 1 });
     harness.close(task, 1, Outcome::Delivered);
     harness.core.carried_out();
     let (next, _) = harness.start_task();
     assert_eq!((next.slot, next.generation), (task.slot, task.generation + 1));
     for input in [
-        Input::Began { task, shot: 1 },
-        Input::Began { task, shot: 0 },
-        Input::Gone { task },
+        Input::AnswerBegan { task, shot: 1 },
+        Input::AnswerBegan { task, shot: 0 },
+        Input::ClientGone { task },
         Input::Closed { task, shot: 0, outcome: Outcome::Error, end: ShotReport::default() },
         Input::Closed { task: next, shot: 9, outcome: Outcome::Delivered, end: ShotReport::default() },
     ] {
@@ -319,7 +323,7 @@
     harness.core = Core::recorded(17, config("replayable"), Box::new(recorder));
     let rows =
         (0..6).map(|i| row(&format!("h{i}"), ["prefill", "decode"][i % 2], HostStatus::Running)).collect();
-    harness.on(Input::Listed { whole: true, rows });
+    harness.on(Input::HostList { complete: true, rows });
     for round in 0..50 {
         let (task, out) = harness.start_task();
         let host =
@@ -348,7 +352,7 @@
 fn a_slot_is_not_reused_before_its_last_output_is_carried_out() {
     let mut harness = Harness::new("replayable");
     let (first, _) = harness.start_task();
-    let mut out = harness.on(Input::Gone { task: first });
+    let mut out = harness.on(Input::ClientGone { task: first });
     out.extend(harness.close(first, 0, Outcome::Cancelled));
     out.extend(harness.run_until(ms(10_000)));
     assert!(out.contains(&Output::Forget { task: first }), "{out:?}");
@@ -380,12 +384,12 @@
         // The next shot is the first one only if none was reported before. A repeated read, if any, reports none.
         let mut shot = 2;
         let mut out = second;
-        if out.iter().any(|o| matches!(o, Output::Send { errand: Errand::Read, .. })) {
+        if out.iter().any(|o| matches!(o, Output::Send { kind: ShotKind::Read, .. })) {
             out = harness.close(task, shot, Outcome::Read);
             assert!(possible_run_hosts(&out).is_empty(), "{outcome:?}");
             shot += 1;
         }
-        let begun = harness.on(Input::Began { task, shot });
+        let begun = harness.on(Input::AnswerBegan { task, shot });
         assert_eq!(
             possible_run_hosts(&begun),
             if reported { vec![] } else { vec![sent_to(&out)] },
@@ -407,6 +411,6 @@
     harness.out.clear();
     let out = harness.close(task, 0, Outcome::Read);
     assert_eq!(sent_to(&out), 2, "the writer of the interrupted answer must not be preferred");
-    assert!(possible_run_hosts(&harness.on(Input::Began { task, shot: 1 })).is_empty());
+    assert!(possible_run_hosts(&harness.on(Input::AnswerBegan { task, shot: 1 })).is_empty());
     assert!(possible_run_hosts(&harness.close(task, 1, Outcome::Broken)).is_empty());
 }
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -162,7 +162,7 @@
             hosts = list.hosts.len(),
             "list taken"
         );
-        shared.owner_queue.send(OwnerMessage::CoreInput(Input::Listed { whole: list.whole, rows }));
+        shared.owner_queue.send(OwnerMessage::CoreInput(Input::HostList { complete: list.whole, rows }));
         if let Some(save_sender) = &self.save_sender {
             // The thread that saves lists runs as long as the process.
             let _ = save_sender.send(self.list());
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -160,7 +160,7 @@
             None => Input::Tick,
             Some(OwnerMessage::Arrive(task, request)) => return self.arrive(now, task, &request, outputs),
             Some(OwnerMessage::ClientGone(task)) => match task.id() {
-                Some(id) => Input::Gone { task: id },
+                Some(id) => Input::ClientGone { task: id },
                 None => return,
             },
             Some(OwnerMessage::CoreInput(input)) => input,
@@ -185,12 +185,12 @@
         // The group of that shot binds this task and every later continuation: without this, a second loss could lead
         // out of the first one's group.
         let entered = self.tasks[slot].as_ref();
-        let ran = entered.and_then(|entered| {
-            let ran = entered.task.continues.as_ref()?.ran()?;
-            entered.task.set_ran(ran);
-            Some(ran)
+        let earlier_run = entered.and_then(|entered| {
+            let run = entered.task.continues.as_ref()?.first_possible_run()?;
+            entered.task.set_first_possible_run(run);
+            Some(run)
         });
-        self.core.arrive(now, id, &TaskRequest { earlier_run: ran, ..request.clone() }, outputs);
+        self.core.arrive(now, id, &TaskRequest { earlier_run, ..request.clone() }, outputs);
     }
 
     /// Aborts all running tasks and shuts the streams of those whose answer has begun.
@@ -203,7 +203,7 @@
             } else {
                 active.shots.iter().for_each(|shot| shot.shut());
             }
-            self.core.on(now, Input::Gone { task: id }, outputs);
+            self.core.on(now, Input::ClientGone { task: id }, outputs);
         }
     }
 
@@ -227,7 +227,7 @@
     fn execute(&mut self, output: Output) {
         let shared = self.shared.clone();
         match output {
-            Output::Send { task, shot, host, errand, until, begin_by, held } => {
+            Output::Send { task, shot, host, kind, deadline, send_by, held } => {
                 let endpoint = self.endpoint(host);
                 let reader = held.as_ref().and_then(|held| self.endpoint(held.host));
                 let Some(active) = self.active(task) else { return };
@@ -235,7 +235,7 @@
                 active.shots.push(control.clone());
                 let state = held.zip(reader);
                 let active_task = active.task.clone();
-                let (deadline, begin_by) = (shared.start + until, shared.start + begin_by);
+                let (deadline, send_by) = (shared.start + deadline, shared.start + send_by);
                 let shot = shot::Shot {
                     shared,
                     id: task,
@@ -244,9 +244,9 @@
                     host,
                     control,
                     deadline,
-                    begin_by,
+                    send_by,
                 };
-                spawn(move || shot.run(endpoint, errand, state));
+                spawn(move || shot.run(endpoint, kind, state));
             }
             Output::Cancel { task, shot } => {
                 if let Some(control) = self.active(task).and_then(|active| active.shots.get(shot as usize)) {
@@ -258,13 +258,13 @@
                     spawn(move || shot::release(&shared, &endpoint, &held.state));
                 }
             }
-            Output::Bounce { task, come_back } => {
+            Output::Bounce { task, retry_after } => {
                 let Some(active) = self.active(task) else { return };
                 if active.task.close() {
-                    let _ = active.task.inbox.send(ConnectionMessage::Bounced {
-                        ticket: active.task.ticket,
-                        retry_after: come_back,
-                    });
+                    let _ = active
+                        .task
+                        .inbox
+                        .send(ConnectionMessage::Bounced { ticket: active.task.ticket, retry_after });
                 }
             }
             Output::BreakOff { task } => {
@@ -278,9 +278,9 @@
                 shared.metrics.notes.with_label_values(&[name, what]).inc();
                 tracing::info!(host = name, "{what}");
             }
-            Output::Ran { task, ran } => {
+            Output::FirstPossibleRun { task, run } => {
                 if let Some(active) = self.active(task) {
-                    active.task.set_ran(ran);
+                    active.task.set_first_possible_run(run);
                 }
             }
             Output::Forget { task } => {
--- a/crates/dispatcher/src/shot.rs
+++ b/crates/dispatcher/src/shot.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipstall::interface::{LoadReport, Outcome};
-use tulipstall_core::{Errand, HeldState, Input, ShotReport, TaskId};
+use tulipstall_core::{HeldState, Input, ShotKind, ShotReport, TaskId};
 use tulipstall_engine::{self as engine, Piece, Stage, State, Usage};
 use tulipstall_http1::{Limits, sse};
 use tulipstall_net::{Fault, Link, Reply};
@@ -29,7 +29,7 @@
     pub host: u32,
     pub control: Arc<ShotControl>,
     pub deadline: Instant,
-    pub begin_by: Instant,
+    pub send_by: Instant,
 }
 
 /// An answer whose first piece has arrived. It is handed to the client's coroutine, which relays the rest and reports the
@@ -80,14 +80,14 @@
     pub fn run(
         self,
         endpoint: Option<Arc<Endpoint>>,
-        errand: Errand,
+        kind: ShotKind,
         state: Option<(HeldState, Arc<Endpoint>)>,
     ) {
         let closing =
             ShotEndGuard { shared: self.shared.clone(), id: self.id, number: self.number, reported: false };
         let Some(endpoint) = endpoint else { return closing.close(Outcome::Moot, ShotReport::default()) };
         let reader_cached_tokens = state.as_ref().map(|(held, _)| held.cached_tokens);
-        match self.attempt(&endpoint, errand, state) {
+        match self.attempt(&endpoint, kind, state) {
             Ok(ShotResult::Ended(outcome, end)) => closing.close(outcome, end),
             Err(outcome) => closing.close(self.final_outcome(outcome), ShotReport::default()),
             Ok(ShotResult::StreamBegun(load, reply, events, pieces, done)) => {
@@ -101,7 +101,7 @@
                 }
                 self.shared
                     .owner_queue
-                    .send(OwnerMessage::CoreInput(Input::Began { task: self.id, shot: self.number }));
+                    .send(OwnerMessage::CoreInput(Input::AnswerBegan { task: self.id, shot: self.number }));
                 self.shared.metrics.first_token.observe(self.task.arrived.elapsed().as_secs_f64());
                 let begun = BegunAnswer {
                     shot: closing,
@@ -135,7 +135,7 @@
     fn attempt(
         &self,
         endpoint: &Endpoint,
-        errand: Errand,
+        kind: ShotKind,
         state: Option<(HeldState, Arc<Endpoint>)>,
     ) -> Result<ShotResult, Outcome> {
         let connect = Duration::from_millis(self.shared.settings.times.connect_ms);
@@ -144,11 +144,11 @@
         let check_sendable =
             |()| (endpoint.is_open() && !self.control.cancelled()).then_some(()).ok_or(Outcome::Moot);
         check_sendable(())?;
-        let begin_by = self.deadline.min(self.begin_by);
-        if time_left(begin_by).is_zero() {
+        let send_by = self.deadline.min(self.send_by);
+        if time_left(send_by).is_zero() {
             return Err(Outcome::Moot);
         }
-        let link = endpoint.pool.take(connect.min(time_left(begin_by))).map_err(|fault| match fault {
+        let link = endpoint.pool.take(connect.min(time_left(send_by))).map_err(|fault| match fault {
             // A lack of local resources is not the host's fault.
             Fault::OwnMachine => Outcome::Moot,
             _ => Outcome::NoConnection,
@@ -161,9 +161,9 @@
             remote_port: reader.pool.address().port(),
             state_id: held.state,
         });
-        let stage = match (errand, &state) {
-            (Errand::Read, _) => Stage::Read,
-            (Errand::Write, Some(state)) => Stage::Write(state),
+        let stage = match (kind, &state) {
+            (ShotKind::Read, _) => Stage::Read,
+            (ShotKind::Write, Some(state)) => Stage::Write(state),
             _ => Stage::Whole,
         };
         let body = engine::body(&self.task.prompt, stage);
@@ -175,10 +175,10 @@
             &body,
         );
         check_sendable(())?;
-        if time_left(begin_by).is_zero() {
+        if time_left(send_by).is_zero() {
             return Err(Outcome::Moot);
         }
-        link.write(&request, begin_by).map_err(|fault| match fault {
+        link.write(&request, send_by).map_err(|fault| match fault {
             Fault::NoConnection => Outcome::NoConnection,
             Fault::TimedOut => Outcome::TimedOut,
             _ => Outcome::Broken,
@@ -194,7 +194,7 @@
             }
             return Ok(ShotResult::Ended(outcome, ShotReport { load, ..ShotReport::default() }));
         }
-        if errand == Errand::Read {
+        if kind == ShotKind::Read {
             let body = reply.whole_body(self.deadline).map_err(outcome_without_response)?;
             return_connection(endpoint, reply);
             return Ok(parse_read_answer(&body, load, self.host));
--- a/crates/dispatcher/src/task.rs
+++ b/crates/dispatcher/src/task.rs
@@ -35,7 +35,7 @@
     /// The task whose lost answer this one continues.
     pub continues: Option<Arc<Task>>,
     /// The first shot that may have run; set once its answer is lost.
-    ran: Mutex<Option<PossibleRun>>,
+    first_possible_run: Mutex<Option<PossibleRun>>,
     packed_id: AtomicU64,
     answer: AtomicU32,
 }
@@ -59,20 +59,20 @@
             ticket,
             inbox,
             continues: None,
-            ran: Mutex::new(None),
+            first_possible_run: Mutex::new(None),
             packed_id: AtomicU64::new(u64::MAX),
             answer: AtomicU32::new(ANSWER_OPEN),
         }
     }
 
-    pub fn set_ran(&self, ran: PossibleRun) {
-        if let Ok(mut slot) = self.ran.lock() {
-            *slot = Some(ran);
+    pub fn set_first_possible_run(&self, run: PossibleRun) {
+        if let Ok(mut slot) = self.first_possible_run.lock() {
+            *slot = Some(run);
         }
     }
 
-    pub fn ran(&self) -> Option<PossibleRun> {
-        self.ran.lock().ok().and_then(|ran| *ran)
+    pub fn first_possible_run(&self) -> Option<PossibleRun> {
+        self.first_possible_run.lock().ok().and_then(|run| *run)
     }
 
     pub fn set_id(&self, id: TaskId) {
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -29,9 +29,9 @@
     pub reads: bool,
     pub handle: Arc<ShotHandle>,
     /// Time limit for the whole attempt.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Latest time at which its request may be written.
-    pub begin_by: Instant,
+    pub send_by: Instant,
 }
 
 /// A stream whose first event has arrived, handed to the client's coroutine with everything needed to end it.
@@ -198,7 +198,7 @@
                 self.record_end(&endpoint, Outcome::Delivered, sent, 0);
                 self.shared
                     .owner_queue
-                    .send(OwnerMessage::Input(Input::Began { task: self.id, shot: self.number }));
+                    .send(OwnerMessage::Input(Input::AnswerBegan { task: self.id, shot: self.number }));
                 let (reply, events, bytes, ended) = *stream;
                 let begun = BegunStream { reporter, endpoint, reply, events, bytes, ended };
                 let _ = self.task.inbox.send(Message::Begun { id: self.id, begun: Box::new(begun) });
@@ -250,7 +250,7 @@
         let check_open =
             || (endpoint.is_open() && !self.handle.cancelled()).then_some(()).ok_or(Outcome::Moot);
         check_open()?;
-        let within = time_left(self.until.min(self.begin_by));
+        let within = time_left(self.deadline.min(self.send_by));
         if within.is_zero() || !self.shared.can_connect(endpoint) {
             return Err(Outcome::Moot);
         }
@@ -260,19 +260,19 @@
         let task = &self.task;
         let request = {
             let Some(body) = task.body() else { return Err(Outcome::Moot) };
-            host::request(&task.call, time_left(self.until), &body)
+            host::request(&task.call, time_left(self.deadline), &body)
         };
-        if self.client_is_gone() || time_left(self.begin_by).is_zero() {
+        if self.client_is_gone() || time_left(self.send_by).is_zero() {
             return Err(Outcome::Moot);
         }
         reporter.mark_in_flight(endpoint);
         // Nobody runs a request before its last byte is written.
-        link.write(&request, self.until.min(self.begin_by)).map_err(|_| Outcome::NoConnection)?;
+        link.write(&request, self.deadline.min(self.send_by)).map_err(|_| Outcome::NoConnection)?;
         let (id, bytes, idle_ms) = (&task.call.id, request.len(), idle.map(|idle| idle.as_millis() as u64));
         tracing::debug!(id, attempt = self.number, host = endpoint.name, bytes, idle_ms, "attempt written");
         drop(request);
         let (written, mut reply) = (Instant::now(), Reply::new(link, ANSWER_LIMITS));
-        let head = reply.head_begun(self.until, timeouts::ANSWER_START_TIMEOUT);
+        let head = reply.head_begun(self.deadline, timeouts::ANSWER_START_TIMEOUT);
         let broken = matches!(head, Err(Fault::Broken));
         let stale = broken && !reply.reader.any() && ReuseHistory::was_stale(written.elapsed());
         if let Some(idle) = idle
@@ -288,7 +288,7 @@
         match host::classify(&head) {
             AnswerKind::Stream => self.first_event(reply),
             AnswerKind::Read => {
-                let body = reply.whole_body(self.until).map_err(outcome_without_answer)?;
+                let body = reply.whole_body(self.deadline).map_err(outcome_without_answer)?;
                 return_to_pool(&self.shared, endpoint, reply);
                 let Some(cached_tokens) = host::cached_tokens(&body) else { return Err(Outcome::Error) };
                 let state = Some(task.call.id.clone());
@@ -308,7 +308,7 @@
 
     fn first_event(&self, mut reply: Reply) -> Result<ShotResult, Outcome> {
         let (mut events, mut bytes, mut received) = (EventSplitter::default(), Vec::new(), Vec::new());
-        let first_event_until = self.until.min(Instant::now() + timeouts::ANSWER_START_TIMEOUT);
+        let first_event_until = self.deadline.min(Instant::now() + timeouts::ANSWER_START_TIMEOUT);
         loop {
             received.clear();
             // The head of the answer has arrived, so the attempt has run: whatever happens to the rest, its
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -166,12 +166,12 @@
     }
 
     /// Applies a list, whole or as changes.
-    pub fn apply(&self, shared: &Shared, list: &List, whole: bool) {
+    pub fn apply(&self, shared: &Shared, list: &List, complete: bool) {
         let (now, wall) = (shared.now(), self.wall_clock(shared.now()));
         let mut rows = Vec::with_capacity(list.hosts.len());
         {
             let (mut endpoints, mut zones) = (lock(&self.endpoints), lock(&self.zones));
-            if whole {
+            if complete {
                 let listed_names: std::collections::BTreeSet<&str> =
                     list.hosts.iter().map(|line| line.host.as_str()).collect();
                 endpoints.retain(|name, endpoint| {
@@ -217,7 +217,7 @@
                 }
             }
         }
-        tracing::info!(seq = list.seq, whole, hosts = list.hosts.len(), "list taken");
-        shared.owner_queue.send(OwnerMessage::Input(Input::Listed { whole, rows }));
+        tracing::info!(seq = list.seq, whole = complete, hosts = list.hosts.len(), "list taken");
+        shared.owner_queue.send(OwnerMessage::Input(Input::HostList { complete, rows }));
     }
 }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use tulipstall::interface::HostEstimate;
-use tulipstall_core::{Core, Errand, Input, Output, TaskId};
+use tulipstall_core::{Core, Input, Output, ShotKind, TaskId};
 use tulipstall_net::spawn;
 
 /// Messages to the owner of the decisions.
@@ -113,7 +113,7 @@
             None => Input::Tick,
             Some(OwnerMessage::TaskArrived(task)) => return self.arrive(now, task, outputs),
             Some(OwnerMessage::ClientGone(task)) => match task.id() {
-                Some(id) => Input::Gone { task: id },
+                Some(id) => Input::ClientGone { task: id },
                 None => return,
             },
             Some(OwnerMessage::Input(input)) => input,
@@ -152,14 +152,14 @@
 
     fn carry_out(&mut self, output: Output) {
         match output {
-            Output::Send { task, shot, host, errand, until, begin_by, .. } => {
+            Output::Send { task, shot, host, kind, deadline, send_by, .. } => {
                 let endpoint = self.endpoint(host);
                 let shared = self.shared.clone();
                 let Some(in_hand) = self.task_in_hand(task) else { return };
                 let handle = Arc::new(ShotHandle::default());
                 in_hand.shots.push(handle.clone());
-                let (shot_task, reads) = (in_hand.task.clone(), errand == Errand::Read);
-                let (until, begin_by) = (shared.start + until, shared.start + begin_by);
+                let (shot_task, reads) = (in_hand.task.clone(), kind == ShotKind::Read);
+                let (deadline, send_by) = (shared.start + deadline, shared.start + send_by);
                 let attempt = Attempt {
                     shared,
                     id: task,
@@ -168,8 +168,8 @@
                     host,
                     reads,
                     handle,
-                    until,
-                    begin_by,
+                    deadline,
+                    send_by,
                 };
                 spawn(move || attempt.run(endpoint));
             }
@@ -181,16 +181,16 @@
                 }
             }
             // A state has the id of its task.
-            Output::Release { held, sure, reason } => {
+            Output::Release { held, confirmed, reason } => {
                 let server = self.core.host_name(held.host).unwrap_or_default().to_owned();
                 let release =
-                    Release::new(self.shared.clone(), Held { id: held.state, server, sure }, reason);
+                    Release::new(self.shared.clone(), Held { id: held.state, server, confirmed }, reason);
                 spawn(move || release.run());
             }
-            Output::Bounce { task, come_back } => {
+            Output::Bounce { task, retry_after } => {
                 let Some(in_hand) = self.task_in_hand(task) else { return };
                 if in_hand.task.close() {
-                    let _ = in_hand.task.inbox.send(Message::Bounced { id: task, retry_after: come_back });
+                    let _ = in_hand.task.inbox.send(Message::Bounced { id: task, retry_after });
                 }
             }
             Output::BreakOff { task } => {
@@ -202,7 +202,7 @@
                     let _ = in_hand.task.inbox.send(Message::BrokenOff { id: task });
                 }
             }
-            Output::Ran { .. } => {}
+            Output::FirstPossibleRun { .. } => {}
             Output::Note { host, what } => {
                 tracing::info!(host = self.core.host_name(host).unwrap_or("a host"), "{what}");
             }
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -18,7 +18,7 @@
     /// The server that holds it, or may hold it.
     pub server: String,
     /// Its reader has confirmed it; otherwise it may exist, or may be created later.
-    pub sure: bool,
+    pub confirmed: bool,
 }
 
 /// One release that is owed. Counted until it is dropped, so that the process does not stop before it is
@@ -52,7 +52,7 @@
     pub fn run(self) {
         let started = Instant::now();
         self.ask_in_waves();
-        if !self.held.sure {
+        if !self.held.confirmed {
             // The read may have ended well after the first release, where its server could not notice that
             // nobody waits any more.
             tulipstall_net::sleep(
@@ -101,9 +101,20 @@
                 let started = Instant::now();
                 let answer = send_call(&shared, &endpoint, &held.id, new);
                 calls.record(&endpoint, answer);
-                let (Held { id, server, sure }, host) = (&*held, &endpoint.name);
+                let (Held { id, server, confirmed }, host) = (&*held, &endpoint.name);
                 let ms = started.elapsed().as_millis() as u64;
-                tracing::debug!(id, server, sure, ?reason, host, number, new, ?answer, ms, "release");
+                tracing::debug!(
+                    id,
+                    server,
+                    sure = confirmed,
+                    ?reason,
+                    host,
+                    number,
+                    new,
+                    ?answer,
+                    ms,
+                    "release"
+                );
             });
         }
     }
@@ -113,8 +124,14 @@
         shared.releases.done.fetch_add(1, Ordering::Relaxed);
         if took > release::time_left_when_owed(shared.release_time) {
             shared.releases.late.fetch_add(1, Ordering::Relaxed);
-            let Held { id, server, sure } = &*self.held;
-            tracing::warn!(id, server, sure, ms = took.as_millis() as u64, "a held state was released late");
+            let Held { id, server, confirmed } = &*self.held;
+            tracing::warn!(
+                id,
+                server,
+                sure = confirmed,
+                ms = took.as_millis() as u64,
+                "a held state was released late"
+            );
         }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -242,14 +242,19 @@
     /// A host list was received.
     Hosts {
         /// The list is complete: hosts that are not on it are gone. Otherwise it holds changes only.
-        whole: bool,
+        #[serde(rename = "whole")]
+        complete: bool,
         listed: Vec<ListedHost>,
     },
     /// The host list could not be obtained.
     ListFailed,
     /// Estimate of the cached part of the next order's prompt: host and tokens, weighted by confidence. Hosts that are
     /// not named have nothing cached. Without this event the decisions use their own table.
-    Kept { kept: Vec<(u32, u32)> },
+    #[serde(rename = "Kept")]
+    CachedPrompt {
+        #[serde(rename = "kept")]
+        cached: Vec<(u32, u32)>,
+    },
     /// A request arrived.
     Order(Order),
     /// The answer of a shot has begun.
@@ -257,10 +262,12 @@
     /// A shot has ended.
     Closed(Closed),
     /// Answer to a reservation of capacity at a host. The decisions make none and ignore it.
-    Place {
+    #[serde(rename = "Place")]
+    Reservation {
         task: u32,
         /// The capacity is reserved.
-        held: bool,
+        #[serde(rename = "held")]
+        granted: bool,
     },
     /// Result of a probe of a host.
     Probed { host: u32, answered: bool, load: Option<LoadReport> },
@@ -306,9 +313,11 @@
         task: u32,
         host: u32,
         /// Deadline of the shot.
-        until: Duration,
+        #[serde(rename = "until")]
+        deadline: Duration,
         /// Latest time to send the first byte; after that the shot is not sent at all.
-        begin_by: Duration,
+        #[serde(rename = "begin_by")]
+        send_by: Duration,
     },
     /// Cancel a shot that is in progress.
     Cancel { task: u32, shot: u32 },
@@ -318,16 +327,19 @@
     Bounce {
         task: u32,
         /// Delay to suggest to the client before it retries.
-        come_back: Option<Duration>,
+        #[serde(rename = "come_back")]
+        retry_after: Option<Duration>,
     },
     /// Abort the request: a shot may have had an effect that must not occur twice.
     BreakOff { task: u32 },
     /// End a running stream cleanly; the client repeats its request.
-    Move { task: u32 },
+    #[serde(rename = "Move")]
+    EndStream { task: u32 },
     /// Deliver [`Event::Timer`] with this token at the given time.
     Timer { at: Duration, token: u64 },
     /// Request the host list again.
-    AskList,
+    #[serde(rename = "AskList")]
+    RequestHostList,
     /// A log line for the operator.
     Note { host: u32, what: &'static str },
     /// The task is over and no further action names it: its index may be reused.
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -53,9 +53,9 @@
 
     /// Latest time at which the first byte of a shot may go out, as its connection may take long to come up:
     /// inside the windows of all earlier shots that may have run.
-    fn begin_by(&self, task: &Task, until: Duration) -> Duration {
+    fn send_by(&self, task: &Task, deadline: Duration) -> Duration {
         let binding = task.shots_that_may_have_run().filter(|_| self.effect == "referenced");
-        binding.map(|shot| shot.sent_at + self.repeat_window).fold(until, Duration::min)
+        binding.map(|shot| shot.sent_at + self.repeat_window).fold(deadline, Duration::min)
     }
 }
 
@@ -110,11 +110,11 @@
         self.now = self.now.max(now);
         self.first_event_at.get_or_insert(self.now);
         let task = match event {
-            Event::Hosts { whole, listed } => return self.update_hosts(*whole, listed, out),
-            Event::ListFailed => return out.push(Action::AskList),
-            Event::Kept { kept } => return self.next_reported_cached = Some(kept.clone()),
+            Event::Hosts { complete, listed } => return self.update_hosts(*complete, listed, out),
+            Event::ListFailed => return out.push(Action::RequestHostList),
+            Event::CachedPrompt { cached } => return self.next_reported_cached = Some(cached.clone()),
             Event::Probed { host, load: Some(load), .. } => return self.apply_load(*host, load),
-            Event::Place { .. } | Event::Probed { .. } => return,
+            Event::Reservation { .. } | Event::Probed { .. } => return,
             Event::Order(order) => self.admit(order),
             Event::Started { task, shot } => self.shot_started(*task, *shot),
             Event::Closed(closed) => self.shot_closed(closed),
@@ -141,10 +141,10 @@
     }
 
     /// Applies a list of hosts, whole or in part, and plans all tasks again.
-    fn update_hosts(&mut self, whole: bool, listed: &[ListedHost], out: &mut Vec<Action>) {
+    fn update_hosts(&mut self, complete: bool, listed: &[ListedHost], out: &mut Vec<Action>) {
         let now = self.now;
         self.update_role_rates();
-        if whole {
+        if complete {
             self.hosts.iter_mut().for_each(|host| host.listed.status = HostStatus::Gone);
         }
         let warm_up = self.config.duration("rules.warm_up_us").unwrap_or_default();
@@ -1020,8 +1020,8 @@
             // expected time, at least a quarter of the agreed time.
             task.silence_limit =
                 Duration::from_secs_f64((4.0 * expected).max(0.25 * agreed_seconds).min(1e6));
-            let until = if cancel { deadline } else { deadline.min(now + 6 * task.silence_limit) };
-            task.desired.shot = Some((h, phase, until));
+            let shot_deadline = if cancel { deadline } else { deadline.min(now + 6 * task.silence_limit) };
+            task.desired.shot = Some((h, phase, shot_deadline));
             task.desired.wake_at = Some(now + task.silence_limit).filter(|at| cancel && *at < deadline);
         } else if task.desired.end_with_bounce.is_none() {
             // No host may be sent to now: try again as cold budgets fill and retry credit is earned.
@@ -1106,8 +1106,8 @@
             let delay_seconds =
                 self.offerings[task.offering].agreed_seconds * (0.1 + 0.2 * self.random.next_unit());
             let delay = max_delay.min(Duration::from_secs_f64(delay_seconds));
-            let come_back = self.config.flag("allowed.come_back").then_some(delay);
-            let rejection = Action::Bounce { task: task_id, come_back };
+            let retry_after = self.config.flag("allowed.come_back").then_some(delay);
+            let rejection = Action::Bounce { task: task_id, retry_after };
             out.push(if retryable { rejection } else { Action::BreakOff { task: task_id } });
         }
         if let Some(i) = task.desired.cancel {
@@ -1134,12 +1134,12 @@
             task.timer_at = Some(at);
             out.push(Action::Timer { at, token: (t as u64) << 32 | u64::from(task.generation) });
         }
-        let Some((h, phase, until)) = task.desired.shot.take() else { return };
+        let Some((h, phase, deadline)) = task.desired.shot.take() else { return };
         let stream_tokens = f64::from(task.order.prompt_tokens) + task.output_tokens;
         let is_retry = task.shots.iter().any(|shot| shot.failed);
         let reads_prompt = phase != Phase::Write;
         let uncached_tokens = if reads_prompt { self.uncached_tokens(t, h) } else { 0.0 };
-        let begin_by = self.offerings[self.tasks[t].offering].begin_by(&self.tasks[t], until);
+        let send_by = self.offerings[self.tasks[t].offering].send_by(&self.tasks[t], deadline);
         let shot = Shot {
             host: h,
             listed: self.hosts[h as usize].listed,
@@ -1162,7 +1162,7 @@
         // Only a shot after a failure spends retry credit; the write after a read does not.
         host.retry_credit -= if is_retry { 1.0 } else { 0.0 };
         host.recent_read_tokens.add(now, 60.0, shot.uncached_tokens);
-        out.push(Action::Send { task: task_id, host: h, until, begin_by });
+        out.push(Action::Send { task: task_id, host: h, deadline, send_by });
     }
 }
 
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -56,7 +56,7 @@
         };
         let hosts: Vec<ListedHost> = hosts.iter().enumerate().map(listed).collect();
         let mut harness = Harness { rules: Rules::new(7, &config), hosts, offering: 0 };
-        harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
+        harness.on_event(0, Event::Hosts { complete: true, listed: harness.hosts.clone() });
         harness
     }
 
@@ -76,7 +76,7 @@
         uptime: Option<Duration>,
     ) -> Vec<Action> {
         let line = ListedHost { status, uptime, ..self.hosts[host as usize] };
-        self.on_event(at, Event::Hosts { whole: false, listed: vec![line] })
+        self.on_event(at, Event::Hosts { complete: false, listed: vec![line] })
     }
 
     /// An order without a shared text, by a client that waits 4 s.
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -79,7 +79,7 @@
                     tulipstall::interface::ListedHost { uptime, ..*line }
                 });
                 let listed = listed.collect();
-                harness.on_event(0, Event::Hosts { whole: true, listed });
+                harness.on_event(0, Event::Hosts { complete: true, listed });
             }
             i += 1;
             let (own_now, session) = (now - restarted_at, me as u32 * 37 + i);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -599,7 +599,7 @@
         harness.on_event(40, Event::Started { task: 1, shot: 9 }),
         harness.on_event(40, Event::Timer { token: u64::MAX }),
         harness.on_event(40, Event::ClientGone { task: 55 }),
-        harness.on_event(40, Event::Place { task: 1, held: true }),
+        harness.on_event(40, Event::Reservation { task: 1, granted: true }),
     ] {
         assert_eq!(action_letters(&actions), "");
     }
@@ -623,7 +623,7 @@
         for seed in [3, 4, 5] {
             let mut harness = Harness::new(&[], &[(READER, 0), (READER, 1), (READER, 2), (WRITER, 0)]);
             harness.rules = Rules::new(seed, &Config::default());
-            harness.on_event(0, Event::Hosts { whole: true, listed: harness.hosts.clone() });
+            harness.on_event(0, Event::Hosts { complete: true, listed: harness.hosts.clone() });
             let key = Some(CacheKey { slot: 0, generation: 1, hash: text * 31 + 7 });
             let time_left = ms(4000);
             let session = Some(CacheKey { slot: 0, generation: 1, hash: 99 + text });
@@ -813,7 +813,7 @@
         assert_eq!(sent_host(&harness.send_order(201, 2, 8, 1500)), Some(0));
         run_only(&mut harness, 210, &[0, 1, 2]);
         if let Some(reported) = reported {
-            assert!(harness.on_event(220, Event::Kept { kept: reported.to_vec() }).is_empty());
+            assert!(harness.on_event(220, Event::CachedPrompt { cached: reported.to_vec() }).is_empty());
         }
         assert_eq!(sent_host(&harness.send_order(221, 3, 7, 3000)), Some(wanted), "{what}");
         // The report was for that one order only.
@@ -830,7 +830,7 @@
     }
     let actions = harness.send_order(1000, 99, 99, 1000);
     let advice = actions.iter().find_map(|action| match action {
-        Action::Bounce { come_back, .. } => *come_back,
+        Action::Bounce { retry_after, .. } => *retry_after,
         _ => None,
     });
     let advice = advice.expect("a bounce with advice");
