--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -160,7 +160,7 @@
     /// Passes an event to the decisions and appends the resulting actions to the reply.
     fn apply_event(&mut self, clock: u64, event: &Event, reply: &mut String) {
         let now = self.since_start(clock);
-        self.rules.on(now, event, &mut self.actions);
+        self.rules.handle(now, event, &mut self.actions);
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             self.write_action(&action, reply);
--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -209,7 +209,7 @@
             uptime: None,
             status: tulipstall::interface::HostStatus::Running,
         };
-        core.on(
+        core.handle(
             Duration::ZERO,
             Input::HostList { complete: true, rows: (0..hosts).map(row).collect() },
             &mut out,
@@ -219,8 +219,8 @@
         while began.elapsed() < Duration::from_secs(1) {
             let now = began.elapsed();
             out.clear();
-            core.carried_out();
-            let task = core.enter();
+            core.outputs_carried_out();
+            let task = core.reserve_slot();
             let request = TaskRequest {
                 session: Some(format!("s{}", tasks % 5000)),
                 shared: Some(format!("t{}", tasks % 10)),
@@ -230,15 +230,15 @@
                 max_answer_tokens: 200,
                 ..TaskRequest::default()
             };
-            core.arrive(now, task, &request, &mut out);
+            core.start_task(now, task, &request, &mut out);
             while let Some(Output::Send { shot, kind, .. }) = out.pop() {
                 let is_read = kind == tulipstall_core::ShotKind::Read;
                 let (outcome, state) =
                     if is_read { (Outcome::Read, Some("s".to_owned())) } else { (Outcome::Delivered, None) };
                 if !is_read {
-                    core.on(now, Input::AnswerBegan { task, shot }, &mut out);
+                    core.handle(now, Input::AnswerBegan { task, shot }, &mut out);
                 }
-                core.on(
+                core.handle(
                     now,
                     Input::Closed { task, shot, outcome, end: ShotReport { state, ..ShotReport::default() } },
                     &mut out,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod record;
 
-pub use record::{Lines, Recorder, Replay, replay};
+pub use record::{JsonLinesRecorder, Recorder, Replay, replay};
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -274,13 +274,13 @@
 }
 
 /// The source of estimates which host has which prompt prefix cached.
-pub enum Prefix {
+pub enum PrefixSource {
     /// The decisions' own table of sessions and shared texts.
     Table,
     /// An index of prompt contents.
     Content(Box<Prefixes>),
     /// No estimates at all, as a baseline for comparison.
-    Nothing,
+    Disabled,
 }
 
 /// The tasks of one dispatcher, with its decision logic.
@@ -295,8 +295,8 @@
     free_slots: Vec<u32>,
     /// Slots of ended tasks, not free until the outputs that name these tasks have been carried out.
     ended_slots: Vec<u32>,
-    in_hand: usize,
-    prefixes: Prefix,
+    active_tasks: usize,
+    prefix_source: PrefixSource,
     /// Buffer for one prompt's estimates.
     cached: Vec<Kept>,
     /// For each host, when its process started, and whether it is listed.
@@ -324,8 +324,8 @@
             entries: Vec::new(),
             free_slots: Vec::new(),
             ended_slots: Vec::new(),
-            in_hand: 0,
-            prefixes: Prefix::Table,
+            active_tasks: 0,
+            prefix_source: PrefixSource::Table,
             cached: Vec::new(),
             process_starts: Vec::new(),
             timers: BinaryHeap::new(),
@@ -338,29 +338,29 @@
     }
 
     /// Sets the source of prefix estimates. Call it before the first input only.
-    pub fn set_prefix(&mut self, prefix: Prefix) {
-        self.prefixes = prefix;
+    pub fn set_prefix_source(&mut self, source: PrefixSource) {
+        self.prefix_source = source;
     }
 
     /// The index of prompt contents, if it is in use.
     pub fn prefixes(&self) -> Option<&Prefixes> {
-        match &self.prefixes {
-            Prefix::Content(prefixes) => Some(prefixes),
-            Prefix::Table | Prefix::Nothing => None,
+        match &self.prefix_source {
+            PrefixSource::Content(prefixes) => Some(prefixes),
+            PrefixSource::Table | PrefixSource::Disabled => None,
         }
     }
 
     /// The current estimate of what each host has cached of a chain, longest first, as the decisions would get it.
-    pub fn kept_of(&mut self, now: Duration, chain: &[u64]) -> Vec<Kept> {
+    pub fn cached_estimates(&mut self, now: Duration, chain: &[u64]) -> Vec<Kept> {
         let mut cached = Vec::new();
-        if let Prefix::Content(prefixes) = &mut self.prefixes {
+        if let PrefixSource::Content(prefixes) = &mut self.prefix_source {
             prefixes.ask(now, chain, &mut cached);
         }
         cached
     }
 
     /// Like [`Core::new`], and passes every event and its actions to a recorder.
-    pub fn recorded(seed: u64, config: Config, mut recorder: Box<dyn Recorder>) -> Self {
+    pub fn with_recorder(seed: u64, config: Config, mut recorder: Box<dyn Recorder>) -> Self {
         recorder.start(seed, &config);
         let mut core = Core::new(seed, config);
         core.recorder = Some(recorder);
@@ -372,8 +372,8 @@
     }
 
     /// How many tasks are in progress.
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    pub fn active_tasks(&self) -> usize {
+        self.active_tasks
     }
 
     /// The decisions' current estimate of each host that is running or has shots in progress, by its index.
@@ -386,7 +386,7 @@
         self.names.hosts.name(host)
     }
 
-    pub fn host(&self, name: &str) -> Option<u32> {
+    pub fn host_index(&self, name: &str) -> Option<u32> {
         self.names.hosts.find(name)
     }
 
@@ -404,12 +404,12 @@
     }
 
     /// Notes that all outputs so far have been carried out: the slots of ended tasks may be reused.
-    pub fn carried_out(&mut self) {
+    pub fn outputs_carried_out(&mut self) {
         self.free_slots.append(&mut self.ended_slots);
     }
 
-    /// Assigns a slot to a new task, which counts as in progress from here on. [`Core::arrive`] then starts it.
-    pub fn enter(&mut self) -> TaskId {
+    /// Assigns a slot to a new task, which counts as in progress from here on. [`Core::start_task`] then starts it.
+    pub fn reserve_slot(&mut self) -> TaskId {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.entries.push(TaskEntry::default());
             self.entries.len() as u32 - 1
@@ -426,12 +426,12 @@
             estimated_blocks,
             ..TaskEntry::default()
         };
-        self.in_hand += 1;
+        self.active_tasks += 1;
         TaskId { slot, generation: entry.generation }
     }
 
     /// Passes a new task to the decisions.
-    pub fn arrive(&mut self, now: Duration, task: TaskId, request: &TaskRequest, out: &mut Vec<Output>) {
+    pub fn start_task(&mut self, now: Duration, task: TaskId, request: &TaskRequest, out: &mut Vec<Output>) {
         let Some(entry) = self.entry(task) else { return };
         (entry.offering, entry.first_possible_run) = (request.offering, request.earlier_run);
         entry.chain = request.chain.clone();
@@ -461,10 +461,10 @@
 
     /// Passes the decisions an estimate of what hosts have cached of a prompt, weighted by confidence.
     fn estimate_cached(&mut self, now: Duration, task: TaskId, request: &TaskRequest, out: &mut Vec<Output>) {
-        match &mut self.prefixes {
-            Prefix::Table => return,
-            Prefix::Nothing => self.cached.clear(),
-            Prefix::Content(prefixes) => prefixes.ask(now, &request.chain, &mut self.cached),
+        match &mut self.prefix_source {
+            PrefixSource::Table => return,
+            PrefixSource::Disabled => self.cached.clear(),
+            PrefixSource::Content(prefixes) => prefixes.ask(now, &request.chain, &mut self.cached),
         }
         let tokens = |kept: &Kept| (f64::from(kept.blocks * BLOCK) * kept.belief) as u32;
         let estimates =
@@ -479,7 +479,7 @@
     /// the prompt cached now.
     fn record_read(&mut self, now: Duration, task: TaskId, host: u32, end: &ShotReport) {
         let Some(entry) = self.entries.get(task.slot as usize) else { return };
-        let Prefix::Content(prefixes) = &mut self.prefixes else { return };
+        let PrefixSource::Content(prefixes) = &mut self.prefix_source else { return };
         let estimated =
             entry.estimated_blocks.iter().find(|(other, _)| *other == host).map_or(0, |(_, blocks)| *blocks);
         // The engine's tokens differ from the estimated ones, so the cached share of its prompt is used.
@@ -496,7 +496,7 @@
     }
 
     /// Handles one input, after expiring the timers that are due by then. Outputs are appended to `out`.
-    pub fn on(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
+    pub fn handle(&mut self, now: Duration, input: Input, out: &mut Vec<Output>) {
         self.tick(now, out);
         match input {
             Input::Tick => {}
@@ -578,7 +578,7 @@
         let restarted = started > start + Duration::from_millis(250);
         let present = line.status != HostStatus::Gone;
         self.process_starts[host] = (if restarted { started } else { start }, present);
-        let Prefix::Content(prefixes) = &mut self.prefixes else { return };
+        let PrefixSource::Content(prefixes) = &mut self.prefix_source else { return };
         let max_blocks = line.memory_tokens.map(|tokens| (tokens / f64::from(BLOCK)) as u32);
         prefixes.listed(line.host, max_blocks, restarted || !present || !was_listed);
     }
@@ -690,7 +690,7 @@
     /// Passes an event to the decisions, records it, and carries out the actions that it calls for.
     fn apply_event(&mut self, now: Duration, event: Event, out: &mut Vec<Output>) {
         let mut actions = std::mem::take(&mut self.actions);
-        self.rules.on(now, &event, &mut actions);
+        self.rules.handle(now, &event, &mut actions);
         if let Some(recorder) = &mut self.recorder {
             recorder.event(now, &event, &actions);
         }
@@ -763,7 +763,7 @@
                 if let Some(entry) = self.entry(task) {
                     entry.live = false;
                     let unconfirmed = std::mem::take(&mut entry.unconfirmed);
-                    self.in_hand -= 1;
+                    self.active_tasks -= 1;
                     self.ended_slots.push(slot);
                     let reason = ReleaseReason::Ended;
                     out.extend(unconfirmed.into_iter().map(|held| Output::Release {
@@ -823,7 +823,7 @@
         for first in ends {
             for second in ends {
                 let (mut core, mut out) = (Core::new(1, Config::default()), Vec::new());
-                let task = core.enter();
+                let task = core.reserve_slot();
                 core.apply_action(Duration::ZERO, first(task.slot), &mut out);
                 assert_eq!(out.len(), 1, "{out:?}");
                 core.apply_action(Duration::ZERO, second(task.slot), &mut out);
@@ -834,8 +834,8 @@
         // No final answer after the client has disconnected.
         for end in ends {
             let (mut core, mut out) = (Core::new(1, Config::default()), Vec::new());
-            let task = core.enter();
-            core.on(Duration::ZERO, Input::ClientGone { task }, &mut out);
+            let task = core.reserve_slot();
+            core.handle(Duration::ZERO, Input::ClientGone { task }, &mut out);
             core.apply_action(Duration::ZERO, end(task.slot), &mut out);
             assert!(out.is_empty(), "{out:?}");
         }
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -18,9 +18,9 @@
 const FORMAT_VERSION: u64 = 1;
 
 /// A recorder that formats records as JSON lines and passes them to a function, which must not block.
-pub struct Lines<W: FnMut(String) + Send>(pub W);
+pub struct JsonLinesRecorder<W: FnMut(String) + Send>(pub W);
 
-impl<W: FnMut(String) + Send> Recorder for Lines<W> {
+impl<W: FnMut(String) + Send> Recorder for JsonLinesRecorder<W> {
     fn start(&mut self, seed: u64, config: &Config) {
         (self.0)(
             json!({"record": FORMAT_VERSION, "seed": seed, "terms": config_as_json(config)}).to_string(),
@@ -74,7 +74,7 @@
         let event: Event = serde_json::from_value(value["event"].clone())
             .map_err(|error| format!("line {number}: {error}"))?;
         out.clear();
-        rules.on(Duration::from_nanos(now), &event, &mut out);
+        rules.handle(Duration::from_nanos(now), &event, &mut out);
         replay.events += 1;
         replay.actions += out.len() as u64;
         // Formatted and parsed once, like the recorded actions, so that both have the same representation of numbers.
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tulipstall::interface::{Config, ConfigValue, HostStatus, Outcome, PossibleRun};
 use tulipstall_core::{
-    Core, HostRow, Input, Lines, Output, ShotKind, ShotReport, TaskId, TaskRequest, replay,
+    Core, HostRow, Input, JsonLinesRecorder, Output, ShotKind, ShotReport, TaskId, TaskRequest, replay,
 };
 
 fn ms(ms: u64) -> Duration {
@@ -56,31 +56,31 @@
             row("w1", "decode", HostStatus::Running),
             row("w2", "decode", HostStatus::Running),
         ];
-        harness.on(Input::HostList { complete: true, rows });
+        harness.handle(Input::HostList { complete: true, rows });
         harness
     }
 
-    fn on(&mut self, input: Input) -> Vec<Output> {
+    fn handle(&mut self, input: Input) -> Vec<Output> {
         self.now += ms(1);
-        self.core.on(self.now, input, &mut self.out);
+        self.core.handle(self.now, input, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
     fn start_task(&mut self) -> (TaskId, Vec<Output>) {
-        let task = self.core.enter();
+        let task = self.core.reserve_slot();
         let request = TaskRequest {
             time_left: ms(4000),
             prompt_tokens: 100,
             max_answer_tokens: 50,
             ..TaskRequest::default()
         };
-        self.core.arrive(self.now, task, &request, &mut self.out);
+        self.core.start_task(self.now, task, &request, &mut self.out);
         (task, std::mem::take(&mut self.out))
     }
 
     fn close(&mut self, task: TaskId, shot: u32, outcome: Outcome) -> Vec<Output> {
         let state = (outcome == Outcome::Read).then(|| format!("s{shot}"));
-        self.on(Input::Closed { task, shot, outcome, end: ShotReport { state, ..ShotReport::default() } })
+        self.handle(Input::Closed { task, shot, outcome, end: ShotReport { state, ..ShotReport::default() } })
     }
 
     /// Starts a task and completes its read, so that the shot at a writer is in progress.
@@ -96,7 +96,7 @@
         let mut all = Vec::new();
         while let Some(at) = self.core.next_timer().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            all.extend(self.on(Input::Tick));
+            all.extend(self.handle(Input::Tick));
         }
         all
     }
@@ -131,11 +131,11 @@
         panic!("{out:?}")
     };
     assert_eq!((held.host, held.state.as_str()), (0, "s0"));
-    assert_eq!(possible_run_hosts(&harness.on(Input::AnswerBegan { task, shot: 1 })), [sent_to(&out)]);
+    assert_eq!(possible_run_hosts(&harness.handle(Input::AnswerBegan { task, shot: 1 })), [sent_to(&out)]);
     let out = harness.close(task, 1, Outcome::Delivered);
     assert_eq!(out, vec![Output::Forget { task }]);
     let counts = harness.core.counts();
-    assert_eq!((counts.taken, counts.delivered, harness.core.in_hand()), (1, 1, 0));
+    assert_eq!((counts.taken, counts.delivered, harness.core.active_tasks()), (1, 1, 0));
 }
 
 /// Whether another shot may follow one that ended at a writer before its answer began, by the offering's effect.
@@ -174,13 +174,13 @@
     let mut harness = Harness::new("replayable");
     let (task, _) = harness.finish_read();
     // The host is removed from the list and the shot is cancelled.
-    let out = harness.on(Input::HostList {
+    let out = harness.handle(Input::HostList {
         complete: false,
         rows: vec![row("w1", "decode", HostStatus::Gone), row("w2", "decode", HostStatus::Gone)],
     });
     assert!(out.contains(&Output::Cancel { task, shot: 1 }), "{out:?}");
     // Before the shot has ended, its answer begins: the client gets that answer, and no other shot follows.
-    let out = harness.on(Input::AnswerBegan { task, shot: 1 });
+    let out = harness.handle(Input::AnswerBegan { task, shot: 1 });
     assert!(out.len() == 1 && possible_run_hosts(&out).len() == 1, "{out:?}");
     let mut out = harness.run_until(ms(10_000));
     out.extend(harness.close(task, 1, Outcome::Delivered));
@@ -193,7 +193,7 @@
 fn the_state_of_a_late_read_is_released() {
     let mut harness = Harness::new("replayable");
     let (task, _) = harness.start_task();
-    let out = harness.on(Input::ClientGone { task });
+    let out = harness.handle(Input::ClientGone { task });
     assert!(out.contains(&Output::Cancel { task, shot: 0 }), "{out:?}");
     let out = harness.close(task, 0, Outcome::Read);
     let released = out.iter().any(|o| matches!(o, Output::Release { held, .. } if held.state == "s0"));
@@ -217,7 +217,7 @@
     let (task, _) = harness.start_task();
     let out = harness.run_until(ms(5000));
     assert!(count_final_answers(&out) == 1 && released(&out).is_empty(), "{out:?}");
-    harness.core.carried_out();
+    harness.core.outputs_carried_out();
     harness.start_task();
     let out = harness.close(task, 0, Outcome::Read);
     assert_eq!(released(&out), [("s0".to_owned(), true)]);
@@ -229,11 +229,11 @@
         let mut out = harness.close(task, 1, Outcome::NoState);
         assert_eq!((released(&out), sent_to(&out)), (vec![], 0));
         if gone {
-            out = harness.on(Input::ClientGone { task });
+            out = harness.handle(Input::ClientGone { task });
             out.extend(harness.close(task, 2, Outcome::Cancelled));
         } else {
             out = harness.close(task, 2, Outcome::Read);
-            harness.on(Input::AnswerBegan { task, shot: 3 });
+            harness.handle(Input::AnswerBegan { task, shot: 3 });
             out.extend(harness.close(task, 3, Outcome::Delivered));
         }
         assert_eq!(released(&out), [("s0".to_owned(), false)], "{out:?}");
@@ -245,10 +245,10 @@
         let mut out = Vec::new();
         for shot in 0..2 {
             let end = ShotReport { state: Some("s".to_owned()), ..ShotReport::default() };
-            out.extend(harness.on(Input::Closed { task, shot, outcome, end }));
+            out.extend(harness.handle(Input::Closed { task, shot, outcome, end }));
         }
         assert!(released(&out).is_empty(), "{outcome:?}: {out:?}");
-        let out = harness.on(Input::ClientGone { task });
+        let out = harness.handle(Input::ClientGone { task });
         let out = [out, harness.close(task, 2, Outcome::Cancelled)].concat();
         assert_eq!(released(&out), [("s".to_owned(), false)], "{outcome:?}: {out:?}");
         assert_eq!(out.last(), Some(&Output::Forget { task }));
@@ -260,9 +260,9 @@
 fn late_inputs_are_ignored() {
     let mut harness = Harness::new("replayable");
     let (task, _) = harness.finish_read();
-    harness.on(Input::AnswerBegan { task, shot: 1 });
+    harness.handle(Input::AnswerBegan { task, shot: 1 });
     harness.close(task, 1, Outcome::Delivered);
-    harness.core.carried_out();
+    harness.core.outputs_carried_out();
     let (next, _) = harness.start_task();
     assert_eq!((next.slot, next.generation), (task.slot, task.generation + 1));
     for input in [
@@ -273,9 +273,9 @@
         Input::Closed { task: next, shot: 9, outcome: Outcome::Delivered, end: ShotReport::default() },
     ] {
         let what = format!("{input:?}");
-        assert!(harness.on(input).is_empty(), "{what}");
+        assert!(harness.handle(input).is_empty(), "{what}");
     }
-    assert_eq!(harness.core.in_hand(), 1);
+    assert_eq!(harness.core.active_tasks(), 1);
 }
 
 /// If no host ever answers, the client still gets exactly one answer within its time.
@@ -292,7 +292,7 @@
         }
         all.extend(harness.run_until(ms(60_000)));
         assert_eq!(count_final_answers(&all), 1, "{effect}: {all:?}");
-        assert_eq!(harness.core.in_hand(), 0, "{effect}");
+        assert_eq!(harness.core.active_tasks(), 0, "{effect}");
     }
 }
 
@@ -306,7 +306,7 @@
         let out = harness.run_until(ms(4010));
         assert_eq!((count_final_answers(&out), count_sends(&out)), (1, 0), "{effect}: {out:?}");
         assert!(out.contains(&Output::Cancel { task, shot: 1 }) && out.contains(&Output::Forget { task }));
-        assert_eq!((harness.core.counts().overdue, harness.core.in_hand()), (1, 0), "{effect}");
+        assert_eq!((harness.core.counts().overdue, harness.core.active_tasks()), (1, 0), "{effect}");
         for outcome in [Outcome::Delivered, Outcome::Broken] {
             assert!(harness.close(task, 1, outcome).is_empty(), "{effect}");
         }
@@ -318,12 +318,12 @@
 fn records_replay_exactly() {
     let lines: Arc<Mutex<Vec<String>>> = Arc::default();
     let sink = lines.clone();
-    let recorder = Lines(move |line| sink.lock().expect("an unpoisoned lock").push(line));
+    let recorder = JsonLinesRecorder(move |line| sink.lock().expect("an unpoisoned lock").push(line));
     let mut harness = Harness::new("replayable");
-    harness.core = Core::recorded(17, config("replayable"), Box::new(recorder));
+    harness.core = Core::with_recorder(17, config("replayable"), Box::new(recorder));
     let rows =
         (0..6).map(|i| row(&format!("h{i}"), ["prefill", "decode"][i % 2], HostStatus::Running)).collect();
-    harness.on(Input::HostList { complete: true, rows });
+    harness.handle(Input::HostList { complete: true, rows });
     for round in 0..50 {
         let (task, out) = harness.start_task();
         let host =
@@ -352,13 +352,13 @@
 fn a_slot_is_not_reused_before_its_last_output_is_carried_out() {
     let mut harness = Harness::new("replayable");
     let (first, _) = harness.start_task();
-    let mut out = harness.on(Input::ClientGone { task: first });
+    let mut out = harness.handle(Input::ClientGone { task: first });
     out.extend(harness.close(first, 0, Outcome::Cancelled));
     out.extend(harness.run_until(ms(10_000)));
     assert!(out.contains(&Output::Forget { task: first }), "{out:?}");
     let (second, _) = harness.start_task();
     assert_ne!(second.slot, first.slot);
-    harness.core.carried_out();
+    harness.core.outputs_carried_out();
     let (third, _) = harness.start_task();
     assert_eq!(third.slot, first.slot);
     assert_ne!(third.generation, first.generation);
@@ -389,7 +389,7 @@
             assert!(possible_run_hosts(&out).is_empty(), "{outcome:?}");
             shot += 1;
         }
-        let begun = harness.on(Input::AnswerBegan { task, shot });
+        let begun = harness.handle(Input::AnswerBegan { task, shot });
         assert_eq!(
             possible_run_hosts(&begun),
             if reported { vec![] } else { vec![sent_to(&out)] },
@@ -398,7 +398,7 @@
     }
     // A shot of the interrupted answer that the task continues precedes all shots of the task itself.
     let mut harness = Harness::new("replayable");
-    let task = harness.core.enter();
+    let task = harness.core.reserve_slot();
     let earlier = Some(PossibleRun { host: 1, sent: ms(0) });
     let request = TaskRequest {
         time_left: ms(4000),
@@ -407,10 +407,10 @@
         earlier_run: earlier,
         ..TaskRequest::default()
     };
-    harness.core.arrive(harness.now, task, &request, &mut harness.out);
+    harness.core.start_task(harness.now, task, &request, &mut harness.out);
     harness.out.clear();
     let out = harness.close(task, 0, Outcome::Read);
     assert_eq!(sent_to(&out), 2, "the writer of the interrupted answer must not be preferred");
-    assert!(possible_run_hosts(&harness.on(Input::AnswerBegan { task, shot: 1 })).is_empty());
+    assert!(possible_run_hosts(&harness.handle(Input::AnswerBegan { task, shot: 1 })).is_empty());
     assert!(possible_run_hosts(&harness.close(task, 1, Outcome::Broken)).is_empty());
 }
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -101,7 +101,8 @@
 fn index_summary(shared: &Arc<Shared>, options: ResponseOptions) -> Vec<u8> {
     let hosts: Vec<String> = shared.hosts.list().hosts.iter().map(|line| line.host.to_string()).collect();
     let summary = query_core(shared, move |core, now| {
-        let rows: Vec<_> = hosts.into_iter().filter_map(|name| Some((core.host(&name)?, name))).collect();
+        let rows: Vec<_> =
+            hosts.into_iter().filter_map(|name| Some((core.host_index(&name)?, name))).collect();
         let prefixes = core.prefixes()?;
         let (blocks, held) = prefixes.index().sizes();
         let rows: Vec<Value> = rows
@@ -131,7 +132,7 @@
     let block_count = chain.len();
     let cached = query_core(shared, move |core, now| {
         core.prefixes()?;
-        let cached = core.kept_of(now, &chain);
+        let cached = core.cached_estimates(now, &chain);
         let row = |kept: &Kept| {
             let host = core.host_name(kept.host).unwrap_or_default();
             json!({"host": host, "tokens": kept.blocks * BLOCK, "belief": kept.belief})
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tulipstall::interface::Outcome;
-use tulipstall_core::{Core, Input, Lines, Output, Prefix, TaskId, TaskRequest};
+use tulipstall_core::{Core, Input, JsonLinesRecorder, Output, PrefixSource, TaskId, TaskRequest};
 use tulipstall_net::spawn;
 use tulipstall_prefix::Prefixes;
 use tulipstall_settings::PrefixBy;
@@ -39,7 +39,7 @@
 const RECORD_BACKLOG_LINES: usize = 100_000;
 
 /// Starts a thread that writes the record, as file I/O would block the owner.
-fn start_recording(path: PathBuf) -> io::Result<Lines<impl FnMut(String) + Send>> {
+fn start_recording(path: PathBuf) -> io::Result<JsonLinesRecorder<impl FnMut(String) + Send>> {
     let mut file = BufWriter::new(File::create(&path)?);
     let (sender, lines) = std::sync::mpsc::sync_channel::<String>(RECORD_BACKLOG_LINES);
     std::thread::Builder::new().name("record".into()).spawn(move || {
@@ -56,7 +56,7 @@
         }
     })?;
     let mut sender = Some(sender);
-    Ok(Lines(move |line: String| {
+    Ok(JsonLinesRecorder(move |line: String| {
         // A record with a gap would replay to different actions, so recording stops for good.
         if sender.as_ref().is_some_and(|sender| sender.try_send(line).is_err()) {
             tracing::error!("the disk is too slow for the record: recording stops");
@@ -74,13 +74,13 @@
     let config = shared.settings.to_config();
     let seed = shared.settings.seed.unwrap_or(shared.run_id);
     let mut core = match record_path {
-        Some(path) => Core::recorded(seed, config, Box::new(start_recording(path)?)),
+        Some(path) => Core::with_recorder(seed, config, Box::new(start_recording(path)?)),
         None => Core::new(seed, config),
     };
-    core.set_prefix(match shared.settings.prefixes.by {
-        PrefixBy::Content => Prefix::Content(Box::new(Prefixes::new(shared.settings.prefixes.bytes))),
-        PrefixBy::Table => Prefix::Table,
-        PrefixBy::Nothing => Prefix::Nothing,
+    core.set_prefix_source(match shared.settings.prefixes.by {
+        PrefixBy::Content => PrefixSource::Content(Box::new(Prefixes::new(shared.settings.prefixes.bytes))),
+        PrefixBy::Table => PrefixSource::Table,
+        PrefixBy::Nothing => PrefixSource::Disabled,
     });
     let mut owner = Owner {
         shared,
@@ -133,7 +133,7 @@
             for output in outputs.drain(..) {
                 self.execute(output);
             }
-            self.core.carried_out();
+            self.core.outputs_carried_out();
             self.outputs = outputs;
         }
     }
@@ -158,7 +158,9 @@
     fn decide(&mut self, now: Duration, message: Option<OwnerMessage>, outputs: &mut Vec<Output>) {
         let input = match message {
             None => Input::Tick,
-            Some(OwnerMessage::Arrive(task, request)) => return self.arrive(now, task, &request, outputs),
+            Some(OwnerMessage::Arrive(task, request)) => {
+                return self.start_task(now, task, &request, outputs);
+            }
             Some(OwnerMessage::ClientGone(task)) => match task.id() {
                 Some(id) => Input::ClientGone { task: id },
                 None => return,
@@ -170,13 +172,19 @@
         if let Input::Closed { outcome, .. } = &input {
             self.shared.metrics.shots.with_label_values(&[outcome_name(*outcome)]).inc();
         }
-        self.core.on(now, input, outputs);
+        self.core.handle(now, input, outputs);
     }
 
     /// Gives a new task its id and submits it to the core.
-    fn arrive(&mut self, now: Duration, task: Arc<Task>, request: &TaskRequest, outputs: &mut Vec<Output>) {
-        self.core.on(now, Input::Tick, outputs);
-        let id = self.core.enter();
+    fn start_task(
+        &mut self,
+        now: Duration,
+        task: Arc<Task>,
+        request: &TaskRequest,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.core.handle(now, Input::Tick, outputs);
+        let id = self.core.reserve_slot();
         task.set_id(id);
         let slot = id.slot as usize;
         self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
@@ -190,7 +198,7 @@
             entered.task.set_first_possible_run(run);
             Some(run)
         });
-        self.core.arrive(now, id, &TaskRequest { earlier_run, ..request.clone() }, outputs);
+        self.core.start_task(now, id, &TaskRequest { earlier_run, ..request.clone() }, outputs);
     }
 
     /// Aborts all running tasks and shuts the streams of those whose answer has begun.
@@ -203,7 +211,7 @@
             } else {
                 active.shots.iter().for_each(|shot| shot.shut());
             }
-            self.core.on(now, Input::ClientGone { task: id }, outputs);
+            self.core.handle(now, Input::ClientGone { task: id }, outputs);
         }
     }
 
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -78,7 +78,7 @@
             for output in outputs.drain(..) {
                 self.carry_out(output);
             }
-            self.core.carried_out();
+            self.core.outputs_carried_out();
             self.log_host_estimates();
             self.outputs = outputs;
         }
@@ -111,24 +111,24 @@
     fn decide(&mut self, now: Duration, message: Option<OwnerMessage>, outputs: &mut Vec<Output>) {
         let input = match message {
             None => Input::Tick,
-            Some(OwnerMessage::TaskArrived(task)) => return self.arrive(now, task, outputs),
+            Some(OwnerMessage::TaskArrived(task)) => return self.start_task(now, task, outputs),
             Some(OwnerMessage::ClientGone(task)) => match task.id() {
                 Some(id) => Input::ClientGone { task: id },
                 None => return,
             },
             Some(OwnerMessage::Input(input)) => input,
         };
-        self.core.on(now, input, outputs);
+        self.core.handle(now, input, outputs);
     }
 
-    fn arrive(&mut self, now: Duration, task: Arc<Task>, outputs: &mut Vec<Output>) {
-        self.core.on(now, Input::Tick, outputs);
-        let id = self.core.enter();
+    fn start_task(&mut self, now: Duration, task: Arc<Task>, outputs: &mut Vec<Output>) {
+        self.core.handle(now, Input::Tick, outputs);
+        let id = self.core.reserve_slot();
         task.set_id(id);
         let slot = id.slot as usize;
         self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
         self.tasks[slot] = Some(InHand { id, task: task.clone(), shots: Vec::new() });
-        self.core.arrive(now, id, &task.request, outputs);
+        self.core.start_task(now, id, &task.request, outputs);
     }
 
     fn task_in_hand(&mut self, id: TaskId) -> Option<&mut InHand> {
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,7 +1,7 @@
 //! All decisions of the dispatcher: which host gets which shot, when a shot is cancelled or a held state
 //! released, and when a task is rejected or aborted.
 //!
-//! `Rules::new` takes a seed and the configuration given at start. `Rules::on` takes one event at a time and appends
+//! `Rules::new` takes a seed and the configuration given at start. `Rules::handle` takes one event at a time and appends
 //! the actions that it calls for; both are plain data of `src/interface.rs`. Nothing here reads a clock, and
 //! equal events give equal actions. An event updates what a task needs next (`plan`); only `reconcile`
 //! compares that with its shots in flight, held state and timer, and emits the difference.
@@ -105,7 +105,7 @@
     }
 
     /// Takes one event and appends the actions that it calls for.
-    pub fn on(&mut self, now: Duration, event: &Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Duration, event: &Event, out: &mut Vec<Action>) {
         // Time never goes back here, even if the caller's clock does.
         self.now = self.now.max(now);
         self.first_event_at.get_or_insert(self.now);
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -63,7 +63,7 @@
     /// Passes an event to the rules at a time in milliseconds; returns the actions.
     pub fn on_event(&mut self, at: u64, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.rules.on(ms(at), &event, &mut out);
+        self.rules.handle(ms(at), &event, &mut out);
         out
     }
 
