--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -19,8 +19,8 @@
 use tulipstall_http1::{Head, Limits, Refusal, RequestReader, Step};
 use tulipstall_messages::{self as messages, ApiError, Call, Kind, estimate_tokens};
 use tulipstall_net::{Fault, Link, Listener, READ, spawn};
-use tulipstall_recovery::budget::{Verdict, Wish};
-use tulipstall_recovery::{Answer, Next};
+use tulipstall_recovery::budget::{RecoveryRequest, Verdict};
+use tulipstall_recovery::{AfterLoss, ResumableAnswer};
 use tulipstall_settings::{Effect, Group};
 
 /// Maximum number of pipelined requests that are read ahead on one connection.
@@ -629,7 +629,7 @@
         &mut self,
         first: &Arc<Task>,
         lost: &Arc<Task>,
-        answer: &mut Answer,
+        answer: &mut ResumableAnswer,
         within: Duration,
     ) -> Result<(Arc<Task>, Box<BegunAnswer>), &'static str> {
         // How often an answer that waits for the reread budget checks whether its client is there and whether the
@@ -641,14 +641,14 @@
                 return Err("stopping");
             }
             let now = self.shared.now();
-            let (position, max_tokens, until) = match answer.lost(now, within) {
-                Next::GoOn { from, most, until } => (from, most, until),
-                Next::BreakOff(why) => return Err(why.name()),
+            let (position, max_tokens, until) = match answer.record_loss(now, within) {
+                AfterLoss::Resume { from, max_tokens, until } => (from, max_tokens, until),
+                AfterLoss::Abort(why) => return Err(why.name()),
             };
             if !budget_granted {
                 let demand = reread_demand(first, answer, until);
                 match self.shared.may_reread(demand) {
-                    Verdict::Go => budget_granted = true,
+                    Verdict::Granted => budget_granted = true,
                     Verdict::Wait(_) if self.client.gone.load(Ordering::Acquire) => return Err("given up"),
                     Verdict::Wait(span) => {
                         tulipstall_net::sleep(span.min(RECHECK_INTERVAL).min(until - now));
@@ -656,12 +656,12 @@
                     }
                     Verdict::GiveUp => return Err("no room"),
                 }
-                self.shared.metrics.reread_tokens.inc_by(u64::from(demand.reads));
+                self.shared.metrics.reread_tokens.inc_by(u64::from(demand.reread_tokens));
             }
             let task = self.submit_continuation(first, lost, answer, (position, max_tokens), until - now);
             match self.wait_for_continuation(&task) {
                 Ok(begun) => {
-                    answer.goes_on();
+                    answer.resumed();
                     return Ok((task, begun));
                 }
                 // Rejected: tried again at the time that the decisions advise, while there is time.
@@ -676,7 +676,7 @@
     pub fn find_better_writer(
         &mut self,
         first: &Arc<Task>,
-        answer: &mut Answer,
+        answer: &mut ResumableAnswer,
         within: Duration,
     ) -> Option<(Arc<Task>, Box<BegunAnswer>)> {
         let start = answer.may_move()?;
@@ -684,10 +684,10 @@
             return None;
         }
         let demand = reread_demand(first, answer, self.shared.now());
-        if self.shared.may_reread(demand) != Verdict::Go {
+        if self.shared.may_reread(demand) != Verdict::Granted {
             return None;
         }
-        self.shared.metrics.reread_tokens.inc_by(u64::from(demand.reads));
+        self.shared.metrics.reread_tokens.inc_by(u64::from(demand.reread_tokens));
         let task = self.submit_continuation(first, first, answer, start, within);
         Some((task.clone(), self.wait_for_continuation(&task).ok()?))
     }
@@ -697,13 +697,13 @@
         &mut self,
         first: &Arc<Task>,
         lost: &Arc<Task>,
-        answer: &Answer,
+        answer: &ResumableAnswer,
         (position, max_tokens): (u32, u32),
         within: Duration,
     ) -> Arc<Task> {
         self.ticket += 1;
-        let text = format!("{}{}", first.prompt.text, answer.before());
-        let resume = Some(Resume { answer_bytes: answer.before().len(), from: position });
+        let text = format!("{}{}", first.prompt.text, answer.text_before_resume());
+        let resume = Some(Resume { answer_bytes: answer.text_before_resume().len(), from: position });
         let request = TaskRequest {
             time_left: within,
             prompt_tokens: first.request.prompt_tokens + answer.tokens(),
@@ -749,9 +749,14 @@
 }
 
 /// The demand on the reread budget for reading an answer's prompt and its text so far again.
-fn reread_demand(first: &Task, answer: &Answer, until: Duration) -> Wish {
-    let reads = first.request.prompt_tokens + answer.tokens();
-    Wish { reads, has: answer.tokens(), most: first.prompt.most_tokens, until }
+fn reread_demand(first: &Task, answer: &ResumableAnswer, until: Duration) -> RecoveryRequest {
+    let reread_tokens = first.request.prompt_tokens + answer.tokens();
+    RecoveryRequest {
+        reread_tokens,
+        sent_tokens: answer.tokens(),
+        max_tokens: first.prompt.most_tokens,
+        deadline: until,
+    }
 }
 
 /// Whether a client may retry a task that was aborted.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -23,10 +23,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tulipstall_net::Listener;
 use tulipstall_prefix::chain::Key;
-use tulipstall_recovery::Store;
-use tulipstall_recovery::budget::{Budget, Verdict, Wish};
+use tulipstall_recovery::TextBudget;
+use tulipstall_recovery::budget::{Budget, RecoveryRequest, Verdict};
 use tulipstall_recovery::pace::Paces;
-use tulipstall_recovery::silence::Silence;
+use tulipstall_recovery::silence::SilenceTimeout;
 use tulipstall_settings::{HostList, PrefixBy, Settings};
 
 pub use hosts::now_unix_ms;
@@ -72,11 +72,11 @@
     pub prefix_key: Key,
     pub load_names: Vec<String>,
     /// Texts of begun answers, held so that another writer can continue a lost one.
-    pub answers: Arc<Store>,
+    pub answers: Arc<TextBudget>,
     /// Budget of tokens that may be read again for lost answers. Locked for short moments only, as are the next two.
     pub reread_budget: std::sync::Mutex<Budget>,
     /// Observed pauses of writers within a stream.
-    pub silence: std::sync::Mutex<Silence>,
+    pub silence: std::sync::Mutex<SilenceTimeout>,
     /// Observed speed and length of answers.
     pub paces: std::sync::Mutex<Paces>,
 }
@@ -99,9 +99,9 @@
     }
 
     /// Asks the budget whether the prompt and text of a lost answer may be read again now.
-    pub fn may_reread(&self, demand: Wish) -> Verdict {
+    pub fn may_reread(&self, demand: RecoveryRequest) -> Verdict {
         match self.reread_budget.lock() {
-            Ok(mut reread_budget) => reread_budget.ask(self.now(), demand),
+            Ok(mut reread_budget) => reread_budget.request(self.now(), demand),
             Err(_) => Verdict::GiveUp,
         }
     }
@@ -109,7 +109,7 @@
     /// Credits the reread budget with a complete answer: the tokens of its prompt and its own.
     pub fn record_delivered(&self, tokens: u32) {
         if let Ok(mut reread_budget) = self.reread_budget.lock() {
-            reread_budget.delivered(self.now(), tokens);
+            reread_budget.refill(self.now(), tokens);
         }
     }
 
@@ -170,7 +170,7 @@
                 settings.limits.reread_tokens,
                 settings.limits.reread_share,
             )),
-            answers: Arc::new(Store::new(settings.limits.answer_bytes, settings.limits.answers_bytes)),
+            answers: Arc::new(TextBudget::new(settings.limits.answer_bytes, settings.limits.answers_bytes)),
             settings,
         });
         owner::start(shared.clone(), receiver, record)?;
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -16,8 +16,8 @@
 use tulipstall_http1::body::{LAST_CHUNK, write_chunk};
 use tulipstall_messages::{Answer, ApiError, Counted, Kind, stop_reason};
 use tulipstall_net::Fault;
-use tulipstall_recovery::pace::{Stream, Usual, Why};
-use tulipstall_recovery::{self as recovery, Again, Refused};
+use tulipstall_recovery::pace::{MoveReason, PaceMeans, StreamPace};
+use tulipstall_recovery::{self as recovery, PieceRejected, RepeatPolicy};
 use tulipstall_settings::Effect;
 
 /// How the client wants its answer.
@@ -36,7 +36,7 @@
     /// The writer was lost or sent malformed data; another one may continue.
     Lost(&'static str),
     /// The writer still sends, but another one would be better for this reason.
-    Move(Why),
+    Move(MoveReason),
     /// The writer sent an invalid answer that no other writer could continue.
     Invalid(&'static str),
     /// The answer is not streamed and was not complete by the client's deadline.
@@ -51,7 +51,7 @@
     client: Arc<Client>,
     answer: Answer,
     /// The answer so far, from all writers.
-    answer_so_far: recovery::Answer,
+    answer_so_far: recovery::ResumableAnswer,
     /// The token position at which the current writer began.
     start_position: u32,
     form: ResponseForm,
@@ -123,21 +123,25 @@
 ) -> (&'static str, bool) {
     let shared = connection.shared.clone();
     let repeat_policy = match shared.settings.offerings[task.offering].effect {
-        Effect::Replayable => Again::Harmless,
+        Effect::Replayable => RepeatPolicy::Always,
         // The window is counted from the task's arrival, which is before any shot. The core knows the shot and enforces the
         // window and the group from there.
         Effect::Referenced => {
             let window = Duration::from_millis(shared.settings.offerings[task.offering].window_ms);
-            Again::Until(task.arrived.saturating_duration_since(shared.start) + window)
+            RepeatPolicy::Until(task.arrived.saturating_duration_since(shared.start) + window)
         }
-        Effect::SingleUse => Again::Harmful,
+        Effect::SingleUse => RepeatPolicy::Never,
     };
     let counted = Counted { prompt_tokens: begun.usage.prompt_tokens, ..Counted::default() };
     let id = format!("msg_{}", task.name.trim_start_matches("req_"));
     let mut relay = Relay {
         client: connection.client.clone(),
         answer: Answer { id, model: task.prompt.model.clone() },
-        answer_so_far: recovery::Answer::new(shared.answers.clone(), repeat_policy, task.prompt.most_tokens),
+        answer_so_far: recovery::ResumableAnswer::new(
+            shared.answers.clone(),
+            repeat_policy,
+            task.prompt.most_tokens,
+        ),
         start_position: 0,
         form,
         counted,
@@ -176,7 +180,7 @@
         match connection.continue_answer(task, &current, &mut relay.answer_so_far, within) {
             Ok((next, next_begun)) => {
                 if let Ok(mut paces) = relay.shared.paces.lock() {
-                    paces.went_on(search_began.elapsed());
+                    paces.record_gap(search_began.elapsed());
                 }
                 relay.shared.metrics.streams_lost.with_label_values(&["went on"]).inc();
                 tracing::info!(
@@ -279,12 +283,12 @@
         task: &Arc<Task>,
         current: &mut Arc<Task>,
         begun: &mut BegunAnswer,
-        why: Why,
+        why: MoveReason,
     ) -> Option<BegunAnswer> {
         self.may_move = false;
-        let usual = self.usual_pace(task.offering);
-        let gap = usual.map_or(Duration::ZERO, |usual| {
-            Duration::from_secs_f64((usual.gap * MOVE_TIMEOUT_GAPS).clamp(0.0, 60.0))
+        let means = self.pace_means(task.offering);
+        let gap = means.map_or(Duration::ZERO, |means| {
+            Duration::from_secs_f64((means.gap_seconds * MOVE_TIMEOUT_GAPS).clamp(0.0, 60.0))
         });
         let search_began = Instant::now();
         let host = begun.endpoint.name.clone();
@@ -305,7 +309,7 @@
             return Some(*next_begun);
         }
         if let Ok(mut paces) = self.shared.paces.lock() {
-            paces.went_on(search_began.elapsed());
+            paces.record_gap(search_began.elapsed());
         }
         let tokens = self.answer_so_far.tokens();
         tracing::info!(
@@ -324,8 +328,8 @@
         Some(previous)
     }
 
-    fn usual_pace(&self, offering: usize) -> Option<Usual> {
-        self.shared.paces.lock().ok()?.usual(offering)
+    fn pace_means(&self, offering: usize) -> Option<PaceMeans> {
+        self.shared.paces.lock().ok()?.means(offering)
     }
 
     /// Relays from one writer until it ends or is given up. The writer's connection is shut if the client disconnects.
@@ -355,11 +359,11 @@
         let token_pace = self.shared.settings.offerings[task.offering].token_pace_ms / 1e3;
         let token_pace = Duration::from_secs_f64(token_pace.clamp(0.0, 1e6));
         let stall_timeout =
-            self.shared.silence.lock().map_or(max_stall, |silence| silence.bears(token_pace, max_stall));
-        let usual = self
-            .usual_pace(task.offering)
+            self.shared.silence.lock().map_or(max_stall, |silence| silence.timeout(token_pace, max_stall));
+        let means = self
+            .pace_means(task.offering)
             .filter(|_| self.may_move && self.answer_so_far.may_move().is_some());
-        let mut stream: Option<Stream> = None;
+        let mut stream: Option<StreamPace> = None;
         let mut longest_pause = Duration::ZERO;
         let mut pieces = std::mem::take(&mut begun.pieces);
         let (mut bytes, mut events, mut ended) = (Vec::new(), Vec::new(), false);
@@ -390,10 +394,10 @@
                         let sent = self.flush();
                         return if sent.is_ok() { Ended::Complete } else { Ended::ClientGone };
                     }
-                    Err(refused @ (Refused::TooMany | Refused::AfterEnd)) => {
-                        return Ended::Invalid(refused.why());
+                    Err(refused @ (PieceRejected::TooManyTokens | PieceRejected::AfterEnd)) => {
+                        return Ended::Invalid(refused.reason());
                     }
-                    Err(refused) => return Ended::Lost(refused.why()),
+                    Err(refused) => return Ended::Lost(refused.reason()),
                 }
             }
             if self.flush().is_err() {
@@ -402,11 +406,11 @@
             if begun.done || (ended && self.all_received()) {
                 return if self.all_received() {
                     if let Ok(mut silence) = self.shared.silence.lock() {
-                        silence.note(longest_pause);
+                        silence.record_pause(longest_pause);
                     }
                     if let Ok(mut paces) = self.shared.paces.lock() {
                         let waited = first_token_at.saturating_duration_since(self.arrived);
-                        paces.note(
+                        paces.record_answer(
                             task.offering,
                             self.answer_so_far.tokens(),
                             waited,
@@ -419,16 +423,16 @@
                 };
             }
             // After the last token only the end mark is missing, so a move makes no sense.
-            if let Some(usual) = &usual
+            if let Some(means) = &means
                 && self.finish_reason.is_none()
                 && self.answer_so_far.may_move().is_some()
             {
                 let (at, tokens) = (self.shared.now(), self.answer_so_far.tokens());
                 let first_token = first_token_at.saturating_duration_since(self.shared.start);
-                let stream = stream.get_or_insert_with(|| Stream::new(first_token, at, tokens));
+                let stream = stream.get_or_insert_with(|| StreamPace::new(first_token, at, tokens));
                 let drain_left =
                     begun.endpoint.draining_since().map(|since| host_drain.saturating_sub(since.elapsed()));
-                if let Some(why) = stream.look(at, tokens, self.max_tokens, token_pace, usual, drain_left) {
+                if let Some(why) = stream.check(at, tokens, self.max_tokens, token_pace, means, drain_left) {
                     return Ended::Move(why);
                 }
             }
@@ -494,14 +498,14 @@
 
     /// Processes one piece. True if the answer ends here by a stop sequence that spans two writers, so that neither has
     /// seen it whole.
-    fn process_piece(&mut self, piece: Piece) -> Result<bool, Refused> {
+    fn process_piece(&mut self, piece: Piece) -> Result<bool, PieceRejected> {
         #[cfg(test)]
         assert_ne!(piece.text, "panic", "panic requested by a test");
         if piece.is_token() {
             if self.finish_reason.is_some() {
-                return Err(Refused::AfterEnd);
+                return Err(PieceRejected::AfterEnd);
             }
-            let new = self.answer_so_far.piece(piece.position, piece.said())?;
+            let new = self.answer_so_far.push_piece(piece.position, piece.said())?;
             if self.form.streamed && !new.is_empty() {
                 Answer::delta(new, &mut self.out);
             } else if !self.form.streamed {
--- a/crates/recovery/benches/answers.rs
+++ b/crates/recovery/benches/answers.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tulipstall_recovery::{Again, Answer, Store};
+use tulipstall_recovery::{RepeatPolicy, ResumableAnswer, TextBudget};
 
 const ANSWERS: usize = 10_000;
 const TOKENS: u32 = 500;
@@ -13,18 +13,18 @@
 /// A token as the simulated hosts send them: Thai words have nine to thirty bytes.
 const TOKEN: &str = "เรือออก";
 
-fn answer(store: &Arc<Store>, again: Again) -> Answer {
-    Answer::new(store.clone(), again, TOKENS + 1)
+fn answer(text_budget: &Arc<TextBudget>, policy: RepeatPolicy) -> ResumableAnswer {
+    ResumableAnswer::new(text_budget.clone(), policy, TOKENS + 1)
 }
 
 /// Measures answers that are completed one after the other.
-fn nanoseconds_per_token(again: Again, bytes: &[&[u8]]) -> f64 {
-    let store = Arc::new(Store::new(1 << 20, 1 << 30));
+fn nanoseconds_per_token(policy: RepeatPolicy, bytes: &[&[u8]]) -> f64 {
+    let text_budget = Arc::new(TextBudget::new(1 << 20, 1 << 30));
     let start = Instant::now();
     for _ in 0..200 {
-        let mut answer = answer(&store, again);
+        let mut answer = answer(&text_budget, policy);
         for at in 0..TOKENS {
-            let new = answer.piece(Some(at), bytes[at as usize % bytes.len()]);
+            let new = answer.push_piece(Some(at), bytes[at as usize % bytes.len()]);
             black_box(new.map(str::len).unwrap_or(0));
         }
     }
@@ -46,20 +46,21 @@
         figures[figures.len() / 2]
     };
     let measure =
-        |again, bytes: &[&[u8]]| median((0..ROUNDS).map(|_| nanoseconds_per_token(again, bytes)).collect());
-    let (not_held, held) = (measure(Again::Harmful, &whole), measure(Again::Harmless, &whole));
+        |policy, bytes: &[&[u8]]| median((0..ROUNDS).map(|_| nanoseconds_per_token(policy, bytes)).collect());
+    let (not_held, held) = (measure(RepeatPolicy::Never, &whole), measure(RepeatPolicy::Always, &whole));
     println!("a token not held {not_held:.1} ns, held {held:.1} ns: {:.2} times", held / not_held);
-    let held_split = measure(Again::Harmless, &split);
+    let held_split = measure(RepeatPolicy::Always, &split);
     println!("held, of two bytes each {held_split:.1} ns: {:.2} times", held_split / not_held);
-    let store = Arc::new(Store::new(1 << 20, 1 << 30));
+    let text_budget = Arc::new(TextBudget::new(1 << 20, 1 << 30));
     let before = resident_bytes();
-    let mut answers: Vec<Answer> = (0..ANSWERS).map(|_| answer(&store, Again::Harmless)).collect();
+    let mut answers: Vec<ResumableAnswer> =
+        (0..ANSWERS).map(|_| answer(&text_budget, RepeatPolicy::Always)).collect();
     for at in 0..TOKENS {
         for answer in &mut answers {
-            black_box(answer.piece(Some(at), TOKEN.as_bytes()).map(str::len).unwrap_or(0));
+            black_box(answer.push_piece(Some(at), TOKEN.as_bytes()).map(str::len).unwrap_or(0));
         }
     }
-    let text_bytes = store.held() as f64 / ANSWERS as f64;
+    let text_bytes = text_budget.held() as f64 / ANSWERS as f64;
     let resident_each = (resident_bytes() - before) as f64 / ANSWERS as f64;
     println!(
         "{ANSWERS} answers of {TOKENS} tokens: {text_bytes:.0} bytes of text each, {resident_each:.0} resident: {:.2} times",
@@ -67,6 +68,7 @@
     );
     let start = Instant::now();
     let movable = answers.iter_mut().filter_map(|answer| answer.may_move()).count();
-    let lost = answers.iter_mut().map(|answer| answer.lost(Duration::ZERO, Duration::from_secs(1))).count();
+    let lost =
+        answers.iter_mut().map(|answer| answer.record_loss(Duration::ZERO, Duration::from_secs(1))).count();
     println!("{movable} asked whether they may move and {lost} lost in {:?}", start.elapsed());
 }
--- a/crates/recovery/src/budget.rs
+++ b/crates/recovery/src/budget.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// It may; the tokens are taken from the budget.
-    Go,
+    Granted,
     /// Ask again after this time, when there will likely be enough tokens.
     Wait(Duration),
     /// There will not be enough tokens before the answer's deadline: abort it at once rather than let the client wait.
@@ -29,15 +29,15 @@
 
 /// The request of one answer to be recovered.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
+pub struct RecoveryRequest {
     /// Tokens to be read again: prompt and answer so far.
-    pub reads: u32,
+    pub reread_tokens: u32,
     /// Tokens of the answer that the client has.
-    pub has: u32,
+    pub sent_tokens: u32,
     /// Maximum tokens of the answer.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Deadline of the recovery.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 /// A token bucket, refilled by delivered work. All times are relative to one arbitrary start.
@@ -73,7 +73,7 @@
     }
 
     /// Records a delivered answer, with the tokens of its prompt and of the answer.
-    pub fn delivered(&mut self, now: Duration, tokens: u32) {
+    pub fn refill(&mut self, now: Duration, tokens: u32) {
         self.decay_rate(now);
         let filled = self.share * f64::from(tokens);
         self.available = (self.available + filled).min(self.capacity);
@@ -81,18 +81,19 @@
     }
 
     /// Decides on a recovery, and takes its tokens if it may start.
-    pub fn ask(&mut self, now: Duration, wish: Wish) -> Verdict {
+    pub fn request(&mut self, now: Duration, request: RecoveryRequest) -> Verdict {
         self.decay_rate(now);
-        let reads = f64::from(wish.reads);
-        let done_part = f64::from(wish.has) / f64::from(wish.most.max(1));
+        let reread_tokens = f64::from(request.reread_tokens);
+        let done_part = f64::from(request.sent_tokens) / f64::from(request.max_tokens.max(1));
         let floor = self.capacity * RESERVED_PART * (1.0 - done_part.clamp(0.0, 1.0));
-        if self.available - reads >= floor {
-            self.available -= reads;
-            return Verdict::Go;
+        if self.available - reread_tokens >= floor {
+            self.available -= reread_tokens;
+            return Verdict::Granted;
         }
-        let (time_left, missing) = (wish.until.saturating_sub(now), floor + reads - self.available);
+        let (time_left, missing) =
+            (request.deadline.saturating_sub(now), floor + reread_tokens - self.available);
         // Waiting is useless for more than the capacity, and if no deliveries refill the budget.
-        if floor + reads > self.capacity || missing > self.fill_rate * time_left.as_secs_f64() {
+        if floor + reread_tokens > self.capacity || missing > self.fill_rate * time_left.as_secs_f64() {
             return Verdict::GiveUp;
         }
         Verdict::Wait(Duration::from_secs_f64(missing / self.fill_rate).max(MIN_WAIT))
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -23,15 +23,15 @@
 const MAX_UNFINISHED_TOKENS: u32 = 8;
 
 /// Limits the text that is held for resuming answers, in bytes for each answer and for all answers.
-pub struct Store {
+pub struct TextBudget {
     max_answer_bytes: usize,
     max_total_bytes: usize,
     held_bytes: AtomicUsize,
 }
 
-impl Store {
+impl TextBudget {
     pub fn new(max_answer_bytes: usize, max_total_bytes: usize) -> Self {
-        Store { max_answer_bytes, max_total_bytes, held_bytes: AtomicUsize::new(0) }
+        TextBudget { max_answer_bytes, max_total_bytes, held_bytes: AtomicUsize::new(0) }
     }
 
     /// Bytes held at present.
@@ -50,13 +50,13 @@
 
 /// Whether the same answer may be started again at another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RepeatPolicy {
     /// Anywhere.
-    Harmless,
+    Always,
     /// At hosts that discard repeats, until this time. The decisions choose only such hosts.
     Until(Duration),
     /// Never, as its effect may have happened.
-    Harmful,
+    Never,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,28 +72,28 @@
 
 /// Why a piece from a writer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum PieceRejected {
     /// Its position is not the expected one: the writer starts elsewhere, repeats or skips a token.
     WrongPosition,
     /// Its text differs from what the previous writer sent at that position.
     DifferentText,
     /// It exceeds the maximum number of tokens.
-    TooMany,
+    TooManyTokens,
     /// The answer has ended or has no writer.
     AfterEnd,
     /// Its bytes are not UTF-8.
     InvalidText,
 }
 
-impl Refused {
+impl PieceRejected {
     /// The reason in log lines.
-    pub fn why(self) -> &'static str {
+    pub fn reason(self) -> &'static str {
         match self {
-            Refused::WrongPosition => "goes on elsewhere",
-            Refused::DifferentText => "goes on with another answer",
-            Refused::TooMany => "too many tokens",
-            Refused::AfterEnd => "text after its end",
-            Refused::InvalidText => "no text",
+            PieceRejected::WrongPosition => "goes on elsewhere",
+            PieceRejected::DifferentText => "goes on with another answer",
+            PieceRejected::TooManyTokens => "too many tokens",
+            PieceRejected::AfterEnd => "text after its end",
+            PieceRejected::InvalidText => "no text",
         }
     }
 }
@@ -125,18 +125,18 @@
 
 /// What happens to an answer after a loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum AfterLoss {
     /// Resume at another writer, which has to start before `until`. Its prompt ends with the answer so far, and it sends at
-    /// most `most` tokens from position `from` on.
-    GoOn { from: u32, most: u32, until: Duration },
+    /// most `max_tokens` tokens from position `from` on.
+    Resume { from: u32, max_tokens: u32, until: Duration },
     /// Abort the answer.
-    BreakOff(AbortReason),
+    Abort(AbortReason),
 }
 
 /// One answer that is being streamed to its client.
-pub struct Answer {
-    store: Arc<Store>,
-    repeat: Again,
+pub struct ResumableAnswer {
+    text_budget: Arc<TextBudget>,
+    repeat: RepeatPolicy,
     /// Maximum number of tokens of the whole answer.
     max_tokens: u32,
     /// The text that the client has, complete characters only.
@@ -156,10 +156,10 @@
     state: State,
 }
 
-impl Answer {
-    pub fn new(store: Arc<Store>, repeat: Again, max_tokens: u32) -> Self {
-        Answer {
-            store,
+impl ResumableAnswer {
+    pub fn new(text_budget: Arc<TextBudget>, repeat: RepeatPolicy, max_tokens: u32) -> Self {
+        ResumableAnswer {
+            text_budget,
             repeat,
             max_tokens,
             text: String::new(),
@@ -168,7 +168,7 @@
             resume_point: (0, 0),
             recent_token_bytes: VecDeque::with_capacity(OVERLAP_TOKENS as usize + 1),
             tokens: 0,
-            is_held: repeat != Again::Harmful,
+            is_held: repeat != RepeatPolicy::Never,
             losses: 0,
             state: State::Streaming,
         }
@@ -186,7 +186,7 @@
 
     /// The part of the answer that is given to a resuming writer: up to the last position at which a token and a character
     /// end together.
-    pub fn before(&self) -> &str {
+    pub fn text_before_resume(&self) -> &str {
         &self.text[..self.resume_point.1]
     }
 
@@ -197,16 +197,16 @@
 
     /// Takes a piece of one token, with its position if the writer reports it, and returns the text that is new to the
     /// client. Only complete characters are returned; the bytes of an incomplete one are held until the rest arrives.
-    pub fn piece(&mut self, position: Option<u32>, bytes: &[u8]) -> Result<&str, Refused> {
+    pub fn push_piece(&mut self, position: Option<u32>, bytes: &[u8]) -> Result<&str, PieceRejected> {
         self.delta.clear();
         match self.state {
-            State::Aborted(_) | State::Lost(_) => Err(Refused::AfterEnd),
+            State::Aborted(_) | State::Lost(_) => Err(PieceRejected::AfterEnd),
             State::Streaming => {
                 if position.is_some_and(|position| position != self.tokens) {
-                    return Err(Refused::WrongPosition);
+                    return Err(PieceRejected::WrongPosition);
                 }
                 if self.tokens >= self.max_tokens {
-                    return Err(Refused::TooMany);
+                    return Err(PieceRejected::TooManyTokens);
                 }
                 self.append_text(bytes)?;
                 self.hold_delta(bytes.len());
@@ -215,10 +215,10 @@
             State::Overlapping(next) => {
                 // A resuming writer has to report positions.
                 if position != Some(next) {
-                    return Err(Refused::WrongPosition);
+                    return Err(PieceRejected::WrongPosition);
                 }
                 if !self.was_sent(next, bytes) {
-                    return Err(Refused::DifferentText);
+                    return Err(PieceRejected::DifferentText);
                 }
                 let next = next + 1;
                 self.state = if next == self.tokens { State::Streaming } else { State::Overlapping(next) };
@@ -228,7 +228,7 @@
     }
 
     /// Appends these bytes to the incomplete character. Moves all complete characters to `delta` and keeps the rest.
-    fn append_text(&mut self, bytes: &[u8]) -> Result<(), Refused> {
+    fn append_text(&mut self, bytes: &[u8]) -> Result<(), PieceRejected> {
         if self.partial_char.is_empty()
             && let Ok(text) = std::str::from_utf8(bytes)
         {
@@ -244,7 +244,7 @@
             }
             Err(_) => {
                 self.partial_char.truncate(old_len);
-                return Err(Refused::InvalidText);
+                return Err(PieceRejected::InvalidText);
             }
         };
         self.delta.push_str(valid_text);
@@ -260,9 +260,9 @@
         }
         let unfinished_tokens = self.tokens - self.resume_point.0;
         let new_bytes = self.delta.len();
-        if self.text.len() + new_bytes > self.store.max_answer_bytes
+        if self.text.len() + new_bytes > self.text_budget.max_answer_bytes
             || unfinished_tokens > MAX_UNFINISHED_TOKENS
-            || !self.store.reserve(new_bytes)
+            || !self.text_budget.reserve(new_bytes)
         {
             self.release_text();
             return;
@@ -279,7 +279,7 @@
 
     /// Releases the held text once a limit is exceeded. The answer cannot be resumed any more.
     fn release_text(&mut self) {
-        self.store.held_bytes.fetch_sub(self.text.len(), Ordering::Relaxed);
+        self.text_budget.held_bytes.fetch_sub(self.text.len(), Ordering::Relaxed);
         (self.is_held, self.text, self.resume_point) = (false, String::new(), (0, 0));
         self.recent_token_bytes.clear();
     }
@@ -307,9 +307,9 @@
 
     /// Records that the writer is lost, or that no new writer has been found yet, and decides what follows. The first of
     /// consecutive losses starts the time limit `within`.
-    pub fn lost(&mut self, now: Duration, within: Duration) -> Next {
+    pub fn record_loss(&mut self, now: Duration, within: Duration) -> AfterLoss {
         let until = match self.state {
-            State::Aborted(why) => return Next::BreakOff(why),
+            State::Aborted(why) => return AfterLoss::Abort(why),
             State::Lost(until) => until,
             _ => {
                 self.losses += 1;
@@ -317,12 +317,12 @@
             }
         };
         let until = match self.repeat {
-            Again::Until(end) => until.min(end),
+            RepeatPolicy::Until(end) => until.min(end),
             _ => until,
         };
         let abort_reason = match self.repeat {
-            Again::Harmful => Some(AbortReason::MayHaveRun),
-            Again::Until(end) if now >= end => Some(AbortReason::MayHaveRun),
+            RepeatPolicy::Never => Some(AbortReason::MayHaveRun),
+            RepeatPolicy::Until(end) if now >= end => Some(AbortReason::MayHaveRun),
             _ if !self.is_held => Some(AbortReason::NotHeld),
             _ if self.losses > MAX_LOSSES => Some(AbortReason::TooManyLosses),
             _ if now >= until => Some(AbortReason::NoWriterInTime),
@@ -330,15 +330,15 @@
         };
         if let Some(why) = abort_reason {
             self.state = State::Aborted(why);
-            return Next::BreakOff(why);
+            return AfterLoss::Abort(why);
         }
         self.state = State::Lost(until);
         let from = self.resume_position();
-        Next::GoOn { from, most: self.max_tokens - from, until }
+        AfterLoss::Resume { from, max_tokens: self.max_tokens - from, until }
     }
 
     /// Records that a resuming writer has started.
-    pub fn goes_on(&mut self) {
+    pub fn resumed(&mut self) {
         if let State::Lost(_) = self.state {
             self.begin_overlap();
         }
@@ -352,7 +352,7 @@
     /// Whether another writer may take over while this one still streams, so that two run at once. Returns the position at
     /// which the new writer starts and the maximum number of tokens that it may send.
     pub fn may_move(&self) -> Option<(u32, u32)> {
-        let movable = self.state == State::Streaming && self.repeat == Again::Harmless && self.is_held;
+        let movable = self.state == State::Streaming && self.repeat == RepeatPolicy::Always && self.is_held;
         (movable && self.losses < MAX_LOSSES)
             .then(|| (self.resume_position(), self.max_tokens - self.resume_position()))
     }
@@ -371,7 +371,7 @@
     }
 }
 
-impl Drop for Answer {
+impl Drop for ResumableAnswer {
     fn drop(&mut self) {
         self.release_text();
     }
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -46,18 +46,18 @@
 
 /// Current means for an offering.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
+pub struct PaceMeans {
     /// Time per token.
     pub token_seconds: f64,
     /// Seconds until another writer's first token.
-    pub gap: f64,
+    pub gap_seconds: f64,
     /// Length of an answer.
     pub answer_tokens: f64,
 }
 
 impl Paces {
     /// Records a completed answer: its tokens, the time to the first token, and from the first to the last.
-    pub fn note(&mut self, offering: usize, tokens: u32, first: Duration, streaming: Duration) {
+    pub fn record_answer(&mut self, offering: usize, tokens: u32, first: Duration, streaming: Duration) {
         self.first_token_seconds.add(first.as_secs_f64());
         self.answer_tokens.resize(self.answer_tokens.len().max(offering + 1), RunningMean::default());
         self.answer_tokens[offering].add(f64::from(tokens));
@@ -67,19 +67,19 @@
     }
 
     /// Records the time from the request for another writer to that writer's first token.
-    pub fn went_on(&mut self, gap: Duration) {
+    pub fn record_gap(&mut self, gap: Duration) {
         self.gap_seconds.add(gap.as_secs_f64());
     }
 
     /// The current means; `None` while too few answers are known. As long as no gap was recorded, the mean time to the first
     /// token stands in for it.
-    pub fn usual(&self, offering: usize) -> Option<Usual> {
+    pub fn means(&self, offering: usize) -> Option<PaceMeans> {
         let answer_tokens = self.answer_tokens.get(offering).filter(|mean| mean.count >= MIN_ANSWERS)?.value;
         let gap_seconds =
             if self.gap_seconds.count > 0 { self.gap_seconds.value } else { self.first_token_seconds.value };
-        (self.token_seconds.count >= MIN_ANSWERS).then_some(Usual {
+        (self.token_seconds.count >= MIN_ANSWERS).then_some(PaceMeans {
             token_seconds: self.token_seconds.value,
-            gap: gap_seconds,
+            gap_seconds,
             answer_tokens,
         })
     }
@@ -87,7 +87,7 @@
 
 /// Measures the pace of one stream.
 #[derive(Debug)]
-pub struct Stream {
+pub struct StreamPace {
     /// When the answer's first token came.
     first_token_at: Duration,
     /// Start of the current measurement, and the tokens of the answer at that time.
@@ -97,39 +97,39 @@
 
 /// Why a stream should move to another writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum MoveReason {
     Slow,
     Drains,
 }
 
-impl Why {
+impl MoveReason {
     /// The value in metric labels and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Why::Slow => "slow",
-            Why::Drains => "drains",
+            MoveReason::Slow => "slow",
+            MoveReason::Drains => "drains",
         }
     }
 }
 
-impl Stream {
+impl StreamPace {
     /// Starts measuring a writer. The answer's first token came at `first`, and it has `had` tokens from earlier writers.
     pub fn new(first: Duration, now: Duration, had: u32) -> Self {
-        Stream { first_token_at: first, window_start: now, window_start_tokens: had }
+        StreamPace { first_token_at: first, window_start: now, window_start_tokens: had }
     }
 
     /// Whether the stream should move, given that the answer has `tokens` tokens by now. Evaluated once every
-    /// `PACE_WINDOW_TOKENS` tokens, `None` in between. `most` is the maximum length of the answer, `agreed` the agreed
+    /// `PACE_WINDOW_TOKENS` tokens, `None` in between. `max_tokens` is the maximum length of the answer, `agreed` the agreed
     /// time per token, and `host_remaining` how long a draining host still runs.
-    pub fn look(
+    pub fn check(
         &mut self,
         now: Duration,
         tokens: u32,
-        most: u32,
+        max_tokens: u32,
         agreed: Duration,
-        usual: &Usual,
+        means: &PaceMeans,
         host_remaining: Option<Duration>,
-    ) -> Option<Why> {
+    ) -> Option<MoveReason> {
         let new_tokens = tokens.saturating_sub(self.window_start_tokens);
         if new_tokens < PACE_WINDOW_TOKENS {
             return None;
@@ -137,19 +137,19 @@
         let token_seconds = now.saturating_sub(self.window_start).as_secs_f64() / f64::from(new_tokens);
         (self.window_start, self.window_start_tokens) = (now, tokens);
         // At least a quarter of the usual length is expected to remain, also for an answer that is already longer.
-        let tokens_left = (usual.answer_tokens - f64::from(tokens))
-            .max(usual.answer_tokens / 4.0)
-            .min(f64::from(most - tokens.min(most)));
+        let tokens_left = (means.answer_tokens - f64::from(tokens))
+            .max(means.answer_tokens / 4.0)
+            .min(f64::from(max_tokens - tokens.min(max_tokens)));
         let seconds_left = tokens_left * token_seconds;
         if host_remaining.is_some_and(|host_remaining| seconds_left > host_remaining.as_secs_f64()) {
-            return Some(Why::Drains);
+            return Some(MoveReason::Drains);
         }
         let seconds_spent = now.saturating_sub(self.first_token_at).as_secs_f64();
         let agreed_seconds = agreed.as_secs_f64() * (f64::from(tokens) + tokens_left);
         let misses_agreed = seconds_spent + seconds_left > agreed_seconds;
         let move_meets_agreed =
-            seconds_spent + usual.gap + tokens_left * usual.token_seconds <= agreed_seconds;
-        (token_seconds > SLOW_FACTOR * usual.token_seconds && misses_agreed && move_meets_agreed)
-            .then_some(Why::Slow)
+            seconds_spent + means.gap_seconds + tokens_left * means.token_seconds <= agreed_seconds;
+        (token_seconds > SLOW_FACTOR * means.token_seconds && misses_agreed && move_meets_agreed)
+            .then_some(MoveReason::Slow)
     }
 }
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -23,15 +23,15 @@
 
 /// Estimates the time-out from the pauses in completed answers.
 #[derive(Debug, Default)]
-pub struct Silence {
+pub struct SilenceTimeout {
     mean_seconds: f64,
     deviation_seconds: f64,
     answers: u32,
 }
 
-impl Silence {
+impl SilenceTimeout {
     /// Records a completed answer, with the longest time between two of its pieces.
-    pub fn note(&mut self, longest: Duration) {
+    pub fn record_pause(&mut self, longest: Duration) {
         let longest_seconds = longest.as_secs_f64();
         if self.answers == 0 {
             (self.mean_seconds, self.deviation_seconds) = (longest_seconds, longest_seconds / 2.0);
@@ -43,16 +43,16 @@
         self.answers = self.answers.saturating_add(1);
     }
 
-    /// The time-out for an answer with this agreed time per token. At most `most`, which is also the result while too few
+    /// The time-out for an answer with this agreed time per token. At most `max`, which is also the result while too few
     /// answers are known.
-    pub fn bears(&self, pace: Duration, most: Duration) -> Duration {
+    pub fn timeout(&self, pace: Duration, max: Duration) -> Duration {
         if self.answers < MIN_ANSWERS {
-            return most;
+            return max;
         }
         let timeout_seconds = SAFETY_FACTOR * (self.mean_seconds + DEVIATION_FACTOR * self.deviation_seconds);
         Duration::from_secs_f64(timeout_seconds.min(1e6))
             .max(MIN_TIMEOUT)
             .max(pace * MIN_TOKEN_TIMES)
-            .min(most)
+            .min(max)
     }
 }
--- a/crates/recovery/tests/budget.rs
+++ b/crates/recovery/tests/budget.rs
@@ -1,14 +1,14 @@
 //! The budget of recoveries, as tables of requests and verdicts.
 
 use std::time::Duration;
-use tulipstall_recovery::budget::{Budget, Verdict, Wish};
+use tulipstall_recovery::budget::{Budget, RecoveryRequest, Verdict};
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn wish(reads: u32, has: u32) -> Wish {
-    Wish { reads, has, most: 100, until: ms(4000) }
+fn recovery_request(reread_tokens: u32, sent_tokens: u32) -> RecoveryRequest {
+    RecoveryRequest { reread_tokens, sent_tokens, max_tokens: 100, deadline: ms(4000) }
 }
 
 /// However many answers ask at once, they take at most the full budget plus what deliveries refill.
@@ -22,12 +22,12 @@
         let (mut read, mut waiting, mut asked) = (0.0, lost, 0);
         for step in 0..200 {
             let now = ms(step * 20);
-            budget.delivered(now, delivered / 200);
+            budget.refill(now, delivered / 200);
             let mut refused = 0;
             for i in 0..waiting {
                 asked += 1;
-                match budget.ask(now, wish(800, i % 100)) {
-                    Verdict::Go => read += 800.0,
+                match budget.request(now, recovery_request(800, i % 100)) {
+                    Verdict::Granted => read += 800.0,
                     Verdict::Wait(_) => refused += 1,
                     Verdict::GiveUp => {}
                 }
@@ -47,8 +47,10 @@
 #[test]
 fn nearly_complete_answers_go_first() {
     let mut budget = Budget::new(10_000, 0.25);
-    let granted = |budget: &mut Budget, has: u32| {
-        (0..100).filter(|_| budget.ask(ms(0), wish(500, has)) == Verdict::Go).count()
+    let granted = |budget: &mut Budget, sent_tokens: u32| {
+        (0..100)
+            .filter(|_| budget.request(ms(0), recovery_request(500, sent_tokens)) == Verdict::Granted)
+            .count()
     };
     assert_eq!(granted(&mut budget, 0), 10, "hardly begun: half of the budget");
     assert_eq!(granted(&mut budget, 50), 5, "half done: three quarters");
@@ -64,23 +66,36 @@
         (0, 0, 4000, |verdict| verdict == Verdict::GiveUp),
         (0, 8000, 4000, |verdict| matches!(verdict, Verdict::Wait(span) if span >= ms(20))),
         (0, 8000, 1, |verdict| verdict == Verdict::GiveUp),
-        (500, 0, 4000, |verdict| verdict == Verdict::Go),
+        (500, 0, 4000, |verdict| verdict == Verdict::Granted),
         (499, 0, 4000, |verdict| verdict == Verdict::GiveUp),
     ];
     for (i, (left, delivered, until, is_expected)) in cases.into_iter().enumerate() {
         let mut budget = Budget::new(10_000, 0.25);
-        let all = Wish { reads: 10_000 - left, has: 100, most: 100, until: ms(4000) };
-        assert_eq!(budget.ask(ms(0), all), Verdict::Go);
+        let all = RecoveryRequest {
+            reread_tokens: 10_000 - left,
+            sent_tokens: 100,
+            max_tokens: 100,
+            deadline: ms(4000),
+        };
+        assert_eq!(budget.request(ms(0), all), Verdict::Granted);
         // Deliveries whose refill other recoveries have used.
-        budget.delivered(ms(0), delivered);
-        let filled = Wish { reads: delivered / 4, has: 100, most: 100, until: ms(4000) };
-        assert_eq!(budget.ask(ms(0), filled), Verdict::Go);
-        let verdict = budget.ask(ms(0), Wish { reads: 500, has: 100, most: 100, until: ms(until) });
+        budget.refill(ms(0), delivered);
+        let filled = RecoveryRequest {
+            reread_tokens: delivered / 4,
+            sent_tokens: 100,
+            max_tokens: 100,
+            deadline: ms(4000),
+        };
+        assert_eq!(budget.request(ms(0), filled), Verdict::Granted);
+        let verdict = budget.request(
+            ms(0),
+            RecoveryRequest { reread_tokens: 500, sent_tokens: 100, max_tokens: 100, deadline: ms(until) },
+        );
         assert!(is_expected(verdict), "case {i}: {verdict:?}");
     }
     // More than the capacity.
     let mut budget = Budget::new(1000, 0.25);
-    budget.delivered(ms(0), 1_000_000);
-    assert_eq!(budget.ask(ms(0), wish(1001, 100)), Verdict::GiveUp);
-    assert_eq!(budget.ask(ms(0), wish(1000, 100)), Verdict::Go);
+    budget.refill(ms(0), 1_000_000);
+    assert_eq!(budget.request(ms(0), recovery_request(1001, 100)), Verdict::GiveUp);
+    assert_eq!(budget.request(ms(0), recovery_request(1000, 100)), Verdict::Granted);
 }
--- a/crates/recovery/tests/orders.rs
+++ b/crates/recovery/tests/orders.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use tulipstall_recovery::{Again, Answer, Next, Refused, Store};
+use tulipstall_recovery::{AfterLoss, PieceRejected, RepeatPolicy, ResumableAnswer, TextBudget};
 
 /// An event: what a writer sends, or what happens to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -52,23 +52,23 @@
 }
 
 struct Run {
-    store: Arc<Store>,
-    answer: Answer,
+    text_budget: Arc<TextBudget>,
+    answer: ResumableAnswer,
     client: String,
     /// The position of the token that the writer sends next; `None` while there is no writer.
     next_position: Option<u32>,
     was_lost: bool,
-    aborted: Option<Next>,
+    aborted: Option<AfterLoss>,
     resume_until: Duration,
     now: Duration,
 }
 
 impl Run {
-    fn new(again: Again, before: u32) -> Run {
-        let store = Arc::new(Store::new(1000, 1000));
-        let answer = Answer::new(store.clone(), again, MAX_TOKENS);
+    fn new(policy: RepeatPolicy, before: u32) -> Run {
+        let text_budget = Arc::new(TextBudget::new(1000, 1000));
+        let answer = ResumableAnswer::new(text_budget.clone(), policy, MAX_TOKENS);
         let mut run = Run {
-            store,
+            text_budget,
             answer,
             client: String::new(),
             next_position: Some(0),
@@ -82,28 +82,28 @@
     }
 
     fn lose_writer(&mut self) {
-        let next = self.answer.lost(self.now, RESUME_LIMIT);
+        let next = self.answer.record_loss(self.now, RESUME_LIMIT);
         if let Some(abort) = self.aborted {
             assert_eq!(next, abort, "an abort is final");
             return;
         }
         (self.next_position, self.was_lost) = (None, true);
         match next {
-            Next::GoOn { from, most, until } => {
-                assert!(from <= self.answer.tokens() && from + most == MAX_TOKENS);
+            AfterLoss::Resume { from, max_tokens, until } => {
+                assert!(from <= self.answer.tokens() && from + max_tokens == MAX_TOKENS);
                 assert!(
                     until > self.now && until <= self.now + RESUME_LIMIT,
                     "the time for resuming is bounded"
                 );
                 self.resume_until = until;
             }
-            Next::BreakOff(_) => self.aborted = Some(next),
+            AfterLoss::Abort(_) => self.aborted = Some(next),
         }
     }
 
     fn send(&mut self, position: Option<u32>, text: &str, is_correct: bool) {
         let tokens_before = self.answer.tokens();
-        let result = self.answer.piece(position, text.as_bytes()).map(str::to_owned);
+        let result = self.answer.push_piece(position, text.as_bytes()).map(str::to_owned);
         match result {
             Ok(new) => {
                 assert!(
@@ -116,7 +116,7 @@
             }
             Err(refused) => {
                 assert_eq!(self.answer.tokens(), tokens_before);
-                if matches!(refused, Refused::WrongPosition | Refused::DifferentText) {
+                if matches!(refused, PieceRejected::WrongPosition | PieceRejected::DifferentText) {
                     self.lose_writer();
                 }
             }
@@ -136,19 +136,19 @@
             Step::OtherText if overlaps => self.send(Some(at), "other", false),
             Step::Loss => self.lose_writer(),
             Step::Resume if self.was_lost && self.aborted.is_none() && self.next_position.is_none() => {
-                let from = match self.answer.lost(self.now, RESUME_LIMIT) {
-                    Next::GoOn { from, .. } => from,
+                let from = match self.answer.record_loss(self.now, RESUME_LIMIT) {
+                    AfterLoss::Resume { from, .. } => from,
                     abort => {
                         self.aborted = Some(abort);
                         return;
                     }
                 };
-                self.answer.goes_on();
+                self.answer.resumed();
                 self.next_position = Some(from);
             }
             Step::Move if self.next_position.is_some() && self.aborted.is_none() => {
-                if let Some((from, most)) = self.answer.may_move() {
-                    assert!(from <= self.answer.tokens() && from + most == MAX_TOKENS);
+                if let Some((from, max_tokens)) = self.answer.may_move() {
+                    assert!(from <= self.answer.tokens() && from + max_tokens == MAX_TOKENS);
                     self.answer.moved();
                     (self.next_position, self.was_lost) = (Some(from), true);
                 }
@@ -163,17 +163,17 @@
             self.aborted.is_none() || !self.answer.may_end(),
             "an aborted answer must not end as complete"
         );
-        assert!(self.store.held() <= self.client.len());
+        assert!(self.text_budget.held() <= self.client.len());
     }
 }
 
 #[test]
 fn all_orders_of_five_events() {
     let (mut aborted, mut complete) = (0u32, 0u32);
-    for again in [Again::Harmless, Again::Harmful] {
+    for policy in [RepeatPolicy::Always, RepeatPolicy::Never] {
         for before in INITIAL_TOKENS {
             for order in 0..(STEPS.len() as u32).pow(DEPTH) {
-                let mut run = Run::new(again, before);
+                let mut run = Run::new(policy, before);
                 let mut remaining = order;
                 for _ in 0..DEPTH {
                     run.step(STEPS[remaining as usize % STEPS.len()]);
@@ -181,15 +181,15 @@
                 }
                 aborted += u32::from(run.aborted.is_some());
                 complete += u32::from(run.answer.tokens() == MAX_TOKENS);
-                if again == Again::Harmful && run.was_lost {
+                if policy == RepeatPolicy::Never && run.was_lost {
                     assert!(
                         run.aborted.is_some(),
                         "an answer whose effect may have happened must not start again"
                     );
                 }
-                let store = run.store.clone();
+                let text_budget = run.text_budget.clone();
                 drop(run);
-                assert_eq!(store.held(), 0, "nothing stays held");
+                assert_eq!(text_budget.held(), 0, "nothing stays held");
             }
         }
     }
--- a/crates/recovery/tests/silence.rs
+++ b/crates/recovery/tests/silence.rs
@@ -1,7 +1,7 @@
 //! The time-out for silent writers, as a table.
 
 use std::time::Duration;
-use tulipstall_recovery::silence::Silence;
+use tulipstall_recovery::silence::SilenceTimeout;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -21,9 +21,9 @@
         (&[4000], 100, 20, 5000, 5000),
     ];
     for (longest, answers, pace_ms, min_ms, max_ms) in cases {
-        let mut silence = Silence::default();
-        longest.iter().cycle().take(answers as usize).for_each(|longest| silence.note(ms(*longest)));
-        let timeout = silence.bears(ms(pace_ms), ms(5000));
+        let mut silence = SilenceTimeout::default();
+        longest.iter().cycle().take(answers as usize).for_each(|longest| silence.record_pause(ms(*longest)));
+        let timeout = silence.timeout(ms(pace_ms), ms(5000));
         assert!(timeout >= ms(min_ms) && timeout <= ms(max_ms), "{longest:?} x {answers}: {timeout:?}");
     }
 }
@@ -31,13 +31,13 @@
 /// All writers become slower by a twentieth per answer: no pause exceeds the time-out, which follows them.
 #[test]
 fn slowly_rising_pauses_cause_no_time_out() {
-    let mut silence = Silence::default();
-    (0..50).for_each(|_| silence.note(ms(20)));
+    let mut silence = SilenceTimeout::default();
+    (0..50).for_each(|_| silence.record_pause(ms(20)));
     let mut longest = 20.0;
     while longest < 2000.0 {
         longest *= 1.05;
         let now = Duration::from_secs_f64(longest / 1e3);
-        assert!(now < silence.bears(ms(20), ms(5000)), "{now:?}");
-        silence.note(now);
+        assert!(now < silence.timeout(ms(20), ms(5000)), "{now:?}");
+        silence.record_pause(now);
     }
 }
