--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -23,7 +23,7 @@
 const TOKENS_PER_STREAM: u32 = 80;
 
 fn main() -> io::Result<()> {
-    tulipstall_dispatcher::set_up_coroutines(Some(2), 256 << 10);
+    tulipstall_dispatcher::configure_coroutines(Some(2), 256 << 10);
     decisions();
     let spec = Spec {
         role: Role::Both,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use tulipstall_dispatcher::{Dispatcher, set_up_coroutines};
+use tulipstall_dispatcher::{Dispatcher, configure_coroutines};
 use tulipstall_rig::vary::Vary;
 use tulipstall_settings::Settings;
 
@@ -168,7 +168,7 @@
 
 fn serve(path: &Path, record: Option<PathBuf>, addresses: Option<PathBuf>) -> Result<(), String> {
     let settings = load_settings(path)?;
-    set_up_coroutines(settings.workers, settings.limits.stack_bytes);
+    configure_coroutines(settings.workers, settings.limits.stack_bytes);
     let dispatcher = Dispatcher::start(settings, record).map_err(|error| error.to_string())?;
     if let Some(file) = addresses {
         let control = dispatcher.control().map(|address| address.to_string());
@@ -305,19 +305,19 @@
         }
         Command::Replay { file } => replay(&file),
         Command::Demo => {
-            set_up_coroutines(None, 256 << 10);
+            configure_coroutines(None, 256 << 10);
             let mut out = io::stdout().lock();
             let result = tulipstall_rig::demo::run(&mut out).and_then(|()| out.flush());
             result.map_err(|error| error.to_string())
         }
         Command::Index { what, control } => index(what, control),
         Command::Day { file, folder, traffic, vary, window_ms } => {
-            set_up_coroutines(None, 256 << 10);
+            configure_coroutines(None, 256 << 10);
             day(&file, folder, traffic, vary.map(|vary| (vary, window_ms)))
         }
         Command::Load { address, model, per_second, seconds, tokens, prompt_bytes, plain, key } => {
             use tulipstall_rig::load::{Load, Target, run};
-            set_up_coroutines(None, 256 << 10);
+            configure_coroutines(None, 256 << 10);
             let target = Target::Dispatcher(address);
             let stream = !plain;
             let load =
@@ -326,7 +326,7 @@
             result.map_err(|error| error.to_string())
         }
         Command::Standin { settings, seen } => {
-            set_up_coroutines(None, 256 << 10);
+            configure_coroutines(None, 256 << 10);
             standin(&settings, seen.as_deref())
         }
     };
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tulipstall_core::Core;
 use tulipstall_http1::{Head, RequestReader, Step};
-use tulipstall_net::{Link, Listener, READ, spawn};
+use tulipstall_net::{Link, Listener, READ_BUFFER_BYTES, spawn};
 use tulipstall_prefix::Kept;
 use tulipstall_prefix::chain::BLOCK;
 use tulipstall_settings::HostList;
@@ -32,7 +32,7 @@
 
 fn serve_connection(shared: &Arc<Shared>, link: &Link) {
     let mut reader = RequestReader::new(front::http_limits(shared));
-    let mut buffer = [0; READ];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         let deadline = Instant::now() + IDLE_TIMEOUT;
         match reader.poll() {
--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -18,7 +18,7 @@
 use tulipstall_engine::{Prompt, Resume};
 use tulipstall_http1::{Head, Limits, Refusal, RequestReader, Step};
 use tulipstall_messages::{self as messages, ApiError, Call, Kind, estimate_tokens};
-use tulipstall_net::{Fault, Link, Listener, READ, spawn};
+use tulipstall_net::{Fault, Link, Listener, READ_BUFFER_BYTES, spawn};
 use tulipstall_recovery::budget::{RecoveryRequest, Verdict};
 use tulipstall_recovery::{AfterLoss, ResumableAnswer};
 use tulipstall_settings::{Effect, Group};
@@ -129,7 +129,7 @@
                     && stream.last_write.is_some_and(|last| now >= last + interval)
                 {
                     let ping = crate::relay::ping_chunk();
-                    let written = client.link.write_now(&ping);
+                    let written = client.link.write_available(&ping);
                     if written > 0 {
                         stream.pending_ping = ping[written..].to_vec();
                     }
@@ -223,7 +223,7 @@
                 };
                 // While requests are unanswered there is no time limit; the end of the last answer starts the idle time.
                 let timed = reading_since.is_some() || client.unanswered.load(Ordering::SeqCst) == 0;
-                let mut buffer = [0; READ];
+                let mut buffer = [0; READ_BUFFER_BYTES];
                 match client.link.read_until(&mut buffer, timed.then_some(deadline)) {
                     Ok(received) if received > 0 => reader.feed(&buffer[..received]),
                     _ => return ConnectionMessage::ClientLeft,
@@ -318,7 +318,7 @@
                     self.client.pipeline_slots.post();
                     if self.client.unanswered.fetch_sub(1, Ordering::SeqCst) == 1 {
                         let idle = Duration::from_millis(self.shared.settings.times.keep_alive_ms);
-                        self.client.link.read_by(Some(Instant::now() + idle));
+                        self.client.link.set_read_deadline(Some(Instant::now() + idle));
                     }
                     keep_open
                 }
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -81,7 +81,7 @@
         {
             // Streams that are waiting for data get this short time, not what a listed host has.
             let deadline = Instant::now() + GONE_STALL_TIMEOUT;
-            streams.iter().for_each(|(_, link)| link.read_by_at_most(deadline));
+            streams.iter().for_each(|(_, link)| link.shorten_read_deadline(deadline));
         }
         if let Ok(mut since) = self.draining_since.lock() {
             *since = match standing {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -132,11 +132,11 @@
 }
 
 /// Configures the coroutine runtime. Must be called before the first coroutine is spawned.
-pub fn set_up_coroutines(workers: Option<u32>, stack_bytes: usize) {
+pub fn configure_coroutines(workers: Option<u32>, stack_bytes: usize) {
     let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
     // At most four by default: with more workers the single owner of the decisions is the bottleneck.
     let workers = workers.map_or(cores.min(4), |workers| workers as usize);
-    tulipstall_net::set_up(workers, stack_bytes);
+    tulipstall_net::configure_coroutines(workers, stack_bytes);
 }
 
 impl Dispatcher {
@@ -313,7 +313,7 @@
     /// errors or none, or the task would stay counted as running for ever.
     #[test]
     fn a_panic_aborts_only_its_own_task() {
-        set_up_coroutines(Some(2), 256 << 10);
+        configure_coroutines(Some(2), 256 << 10);
         let settings = check(
             r#"{"listen": "127.0.0.1:0", "offerings": [{"name": "m", "agreed_time_ms": 1000, "hard_stop_ms": 3000}],
                 "kinds": [{"name": "mixed", "role": "both"}]}"#,
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -457,7 +457,7 @@
                 }
                 Err(Fault::TimedOut) if begun.endpoint.is_gone() => return Ended::Lost("gone from the list"),
                 Err(Fault::TimedOut) => return Ended::Lost("silent"),
-                Err(Fault::Rubbish) => return Ended::Lost("rubbish"),
+                Err(Fault::Malformed) => return Ended::Lost("rubbish"),
                 Err(_) => return Ended::Lost("broken"),
             };
             longest_pause = longest_pause.max(since.elapsed());
--- a/crates/dispatcher/src/shot.rs
+++ b/crates/dispatcher/src/shot.rs
@@ -150,7 +150,7 @@
         }
         let link = endpoint.pool.take(connect.min(time_left(send_by))).map_err(|fault| match fault {
             // A lack of local resources is not the host's fault.
-            Fault::OwnMachine => Outcome::Moot,
+            Fault::LocalMachine => Outcome::Moot,
             _ => Outcome::NoConnection,
         })?;
         self.control.set_link(&link);
@@ -242,8 +242,8 @@
 fn outcome_without_response(fault: Fault) -> Outcome {
     match fault {
         Fault::TimedOut => Outcome::TimedOut,
-        Fault::Rubbish => Outcome::Error,
-        Fault::Broken | Fault::NoConnection | Fault::OwnMachine => Outcome::Broken,
+        Fault::Malformed => Outcome::Error,
+        Fault::Broken | Fault::NoConnection | Fault::LocalMachine => Outcome::Broken,
     }
 }
 
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -5,11 +5,11 @@
 
 /// The cause of a socket error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tells {
+pub enum Cause {
     /// No file descriptor is free, in the process or in the system.
     NoDescriptor,
     /// The local machine lacks another resource: memory, buffers, a local port, a route. It says nothing about the peer.
-    OwnMachine,
+    LocalMachine,
     /// The call was interrupted, or the connection concerned was aborted: the next call may succeed at once.
     Transient,
     /// The peer or the network path to it.
@@ -32,15 +32,15 @@
 const EAGAIN: i32 = 11;
 
 /// Classifies the error of a call that opens or uses a connection to a peer.
-pub fn tells(error: &io::Error) -> Tells {
+pub fn cause(error: &io::Error) -> Cause {
     match error.raw_os_error() {
-        Some(EMFILE | ENFILE) => Tells::NoDescriptor,
+        Some(EMFILE | ENFILE) => Cause::NoDescriptor,
         Some(
             EPERM | EAGAIN | ENOMEM | EACCES | ENOSPC | EADDRINUSE | EADDRNOTAVAIL | ENETDOWN | ENETUNREACH
             | ENOBUFS,
-        ) => Tells::OwnMachine,
-        Some(EINTR | ECONNABORTED) => Tells::Transient,
-        _ => Tells::Peer,
+        ) => Cause::LocalMachine,
+        Some(EINTR | ECONNABORTED) => Cause::Transient,
+        _ => Cause::Peer,
     }
 }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -7,11 +7,12 @@
 pub use may::coroutine::JoinHandle;
 pub use sleep::sleep;
 
-use errors::Tells;
+use errors::Cause;
 use may::coroutine::{self, Coroutine, is_coroutine};
 use may::io::{CoIo, WaitIo};
 use may::sync::Mutex;
 use socket2::{Domain, SockRef, Socket, Type};
+use std::fmt;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -22,22 +23,35 @@
 use tulipstall_http1::{Limits, ResponseHead, ResponseReader};
 
 /// Size of read buffers in bytes: a burst of stream events fits.
-pub const READ: usize = 4096;
+pub const READ_BUFFER_BYTES: usize = 4096;
 
 /// Why communication with a peer failed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// No connection could be made in time, or at all. Nothing was written.
     NoConnection,
     /// The local machine lacks a file descriptor, a port, memory or a route. Nothing was written, and the error says
     /// nothing about the peer.
-    OwnMachine,
+    LocalMachine,
     /// The deadline passed.
     TimedOut,
     /// The connection ended or broke. The peer may have processed part of the request.
     Broken,
     /// The response is malformed.
-    Rubbish,
+    Malformed,
+}
+
+/// Prints names that are values of log fields and must not change with the names of the variants.
+impl fmt::Debug for Fault {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            Fault::NoConnection => "NoConnection",
+            Fault::LocalMachine => "OwnMachine",
+            Fault::TimedOut => "TimedOut",
+            Fault::Broken => "Broken",
+            Fault::Malformed => "Rubbish",
+        })
+    }
 }
 
 /// Starts a coroutine. All coroutines have to be started by this function: it keeps the coroutine's handle for a while
@@ -84,14 +98,14 @@
 }
 
 /// Number of open sockets of the process, including those that are shut and wait for their deferred drop.
-pub fn sockets_held() -> usize {
+pub fn open_sockets() -> usize {
     OPEN_SOCKETS.load(Ordering::Relaxed)
 }
 
 /// Configures the coroutine runtime. Must be called before the first coroutine starts. With a single worker the thread
 /// that resumes a coroutine is also the one that suspended it, so that drops are deferred for a shorter time
 /// (docs/coroutines.md).
-pub fn set_up(workers: usize, stack_bytes: usize) {
+pub fn configure_coroutines(workers: usize, stack_bytes: usize) {
     let config = may::config();
     config.set_workers(workers).set_stack_size(stack_bytes / size_of::<usize>());
     // A pinned worker waits whenever another thread occupies its core.
@@ -167,7 +181,7 @@
 
     /// Closes the listener once [`Listener::accept`] has returned all connections that the system has already accepted, as
     /// their clients may have sent requests.
-    pub fn finish(&self) {
+    pub fn close_when_drained(&self) {
         self.draining.store(true, Ordering::Release);
         self.io.wake();
     }
@@ -295,9 +309,9 @@
         if timeout.is_zero() {
             return Err(Fault::NoConnection);
         }
-        let fault = |error: io::Error| match errors::tells(&error) {
-            Tells::NoDescriptor | Tells::OwnMachine => Fault::OwnMachine,
-            Tells::Transient | Tells::Peer => Fault::NoConnection,
+        let fault = |error: io::Error| match errors::cause(&error) {
+            Cause::NoDescriptor | Cause::LocalMachine => Fault::LocalMachine,
+            Cause::Transient | Cause::Peer => Fault::NoConnection,
         };
         Self::connect_until(address, Instant::now() + timeout).map_err(fault)
     }
@@ -324,9 +338,9 @@
             if link.inner.is_shut() || until <= Instant::now() {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            link.read_by(Some(until));
+            link.set_read_deadline(Some(until));
             stream.wait();
-            link.read_by(None);
+            link.set_read_deadline(None);
         }
     }
 
@@ -336,20 +350,20 @@
     }
 
     /// Shuts the write direction, so that the peer sees the end after all bytes written before. Reads fail from now on.
-    pub fn finish(&self) {
+    pub fn shut_write(&self) {
         self.inner.shut.store(true, Ordering::SeqCst);
         let _ = self.inner.stream.inner().shutdown(Shutdown::Write);
         self.inner.stream.wake();
     }
 
     /// Sets or clears the deadline of a read that is waiting.
-    pub fn read_by(&self, until: Option<Instant>) {
+    pub fn set_read_deadline(&self, until: Option<Instant>) {
         self.inner.read_deadline.store(until.map_or(NO_DEADLINE, watch::deadline_micros), Ordering::SeqCst);
     }
 
     /// Brings the deadline of a waiting read forward to `until`. Does nothing if the deadline is earlier already, or if no
     /// read is waiting with one.
-    pub fn read_by_at_most(&self, until: Instant) {
+    pub fn shorten_read_deadline(&self, until: Instant) {
         let new = watch::deadline_micros(until);
         let shortened = |current: u64| (current != NO_DEADLINE && current > new).then_some(new);
         let _ = self.inner.read_deadline.fetch_update(Ordering::SeqCst, Ordering::SeqCst, shortened);
@@ -367,13 +381,13 @@
 
     /// As [`Link::read`]; without a deadline it waits for as long as it takes.
     pub fn read_until(&self, into: &mut [u8], until: Option<Instant>) -> Result<usize, Fault> {
-        self.read_while(into, || until)
+        self.read_with_moving_deadline(into, || until)
     }
 
     /// As [`Link::read_until`], with a deadline that may be brought forward during the wait. To do so, change the state that
-    /// `deadline` reads and then call [`Link::read_by_at_most`]. `deadline` is evaluated again once it has been set, so that
+    /// `deadline` reads and then call [`Link::shorten_read_deadline`]. `deadline` is evaluated again once it has been set, so that
     /// a change at that very moment is not missed.
-    pub fn read_while(
+    pub fn read_with_moving_deadline(
         &self,
         into: &mut [u8],
         deadline: impl Fn() -> Option<Instant>,
@@ -393,13 +407,13 @@
                     if until.is_some_and(|until| until <= Instant::now()) {
                         return Err(Fault::TimedOut);
                     }
-                    // Without a deadline of its own, the read leaves in force one that was set by `read_by`.
+                    // Without a deadline of its own, the read leaves in force one that was set by `set_read_deadline`.
                     if until.is_some() {
-                        self.read_by(until);
-                        deadline().into_iter().for_each(|until| self.read_by_at_most(until));
+                        self.set_read_deadline(until);
+                        deadline().into_iter().for_each(|until| self.shorten_read_deadline(until));
                     }
                     stream.wait();
-                    self.read_by(None);
+                    self.set_read_deadline(None);
                 }
                 Err(_) => return Err(self.fault()),
             }
@@ -457,13 +471,13 @@
     }
 
     /// Writes as many bytes as the socket takes without waiting, and returns their number.
-    pub fn write_now(&self, bytes: &[u8]) -> usize {
+    pub fn write_available(&self, bytes: &[u8]) -> usize {
         self.inner.stream.inner().write(bytes).unwrap_or(0)
     }
 
     /// Whether the peer has closed or reset the connection, as far as that can be seen before pending bytes are read. It is
     /// seen here at once, even if the reading coroutine has not been scheduled yet.
-    pub fn ended(&self) -> bool {
+    pub fn is_closed_by_peer(&self) -> bool {
         match self.inner.stream.inner().peek(&mut [0; 1]) {
             Ok(got) => got == 0,
             Err(error) => !matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
@@ -471,7 +485,7 @@
     }
 
     /// Whether the peer has closed an idle connection or sent unrequested bytes: it must not be reused in either case.
-    pub fn stale(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         let mut byte = [0; 1];
         // The socket is non-blocking: `WouldBlock` means open and with nothing to read.
         !matches!(self.inner.stream.inner().peek(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
@@ -497,11 +511,11 @@
 
     /// Takes an idle connection that is neither too old nor stale.
     pub fn take_idle(&self) -> Option<Link> {
-        self.idle_if(|_| true).map(|(link, _)| link)
+        self.take_idle_if(|_| true).map(|(link, _)| link)
     }
 
     /// Takes the most recently used idle connection whose idle time `good` accepts, and returns it with that time.
-    pub fn idle_if(&self, good: impl Fn(Duration) -> bool) -> Option<(Link, Duration)> {
+    pub fn take_idle_if(&self, good: impl Fn(Duration) -> bool) -> Option<(Link, Duration)> {
         let now = Instant::now();
         loop {
             let (link, since) = {
@@ -510,7 +524,7 @@
                 idle.remove(index)
             };
             let idle_time = now.duration_since(since);
-            if idle_time < self.max_idle_time && !link.stale() {
+            if idle_time < self.max_idle_time && !link.is_stale() {
                 return Some((link, idle_time));
             }
         }
@@ -525,7 +539,7 @@
     }
 
     /// Whether the pool holds any connection.
-    pub fn any(&self) -> bool {
+    pub fn has_idle(&self) -> bool {
         self.idle.lock().is_ok_and(|idle| !idle.is_empty())
     }
 
@@ -542,7 +556,7 @@
     pub fn trim(&self) {
         let now = Instant::now();
         if let Ok(mut idle) = self.idle.lock() {
-            idle.retain(|(link, since)| now.duration_since(*since) < self.max_idle_time && !link.stale());
+            idle.retain(|(link, since)| now.duration_since(*since) < self.max_idle_time && !link.is_stale());
         }
     }
 
@@ -567,8 +581,8 @@
     // Never inlined: keeps the buffer on the stack only during the read.
     #[inline(never)]
     fn read_more(&mut self, until: &dyn Fn() -> Instant) -> Result<(), Fault> {
-        let mut buffer = [0; READ];
-        match self.link.read_while(&mut buffer, || Some(until()))? {
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        match self.link.read_with_moving_deadline(&mut buffer, || Some(until()))? {
             0 => Err(Fault::Broken),
             got => {
                 self.reader.feed(&buffer[..got]);
@@ -583,33 +597,37 @@
             match self.reader.head() {
                 Ok(Some(head)) => return Ok(head),
                 Ok(None) => self.read_more(&|| until)?,
-                Err(_) => return Err(Fault::Rubbish),
+                Err(_) => return Err(Fault::Malformed),
             }
         }
     }
 
     /// As [`Reply::head`]; a head that has begun to arrive and is not complete within `timeout` counts as malformed.
-    pub fn head_begun(&mut self, until: Instant, timeout: Duration) -> Result<ResponseHead, Fault> {
+    pub fn head_within(&mut self, until: Instant, timeout: Duration) -> Result<ResponseHead, Fault> {
         if !self.reader.any() {
             self.read_more(&|| until)?;
         }
         let complete_by = Instant::now() + timeout;
         self.head(until.min(complete_by)).map_err(|fault| match fault {
-            Fault::TimedOut if complete_by < until => Fault::Rubbish,
+            Fault::TimedOut if complete_by < until => Fault::Malformed,
             other => other,
         })
     }
 
     /// Appends the part of the body that has arrived, waiting for at least one byte. Returns true once the body has ended.
     pub fn body(&mut self, out: &mut Vec<u8>, until: Instant) -> Result<bool, Fault> {
-        self.body_while(out, &|| until)
+        self.body_with_moving_deadline(out, &|| until)
     }
 
-    /// As [`Reply::body`], with a deadline that may be brought forward during the wait, see [`Link::read_while`].
-    pub fn body_while(&mut self, out: &mut Vec<u8>, until: &dyn Fn() -> Instant) -> Result<bool, Fault> {
+    /// As [`Reply::body`], with a deadline that may be brought forward during the wait, see [`Link::read_with_moving_deadline`].
+    pub fn body_with_moving_deadline(
+        &mut self,
+        out: &mut Vec<u8>,
+        until: &dyn Fn() -> Instant,
+    ) -> Result<bool, Fault> {
         let before = out.len();
         loop {
-            let done = self.reader.body(out).map_err(|_| Fault::Rubbish)?;
+            let done = self.reader.body(out).map_err(|_| Fault::Malformed)?;
             if done || out.len() > before {
                 return Ok(done);
             }
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::AtomicU32;
 
 fn connected_link() -> (Link, TcpStream) {
-    set_up(1, 128 << 10);
+    configure_coroutines(1, 128 << 10);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     (Link::new_unwatched(listener.accept().expect("a connection").0).expect("a link"), peer)
@@ -45,7 +45,7 @@
     for (steps, shut, wanted) in cases {
         let (link, mut peer) = connected_link();
         peer.write_all(b"come").expect("some bytes");
-        while link.stale() && link.ended() {
+        while link.is_stale() && link.is_closed_by_peer() {
             thread::sleep(ms(1));
         }
         let past = watch::deadline_micros(Instant::now());
@@ -54,10 +54,10 @@
         let last_read = std::cell::Cell::new(None);
         let act = |action: Action| match action {
             Nothing => {}
-            ClearDeadline => link.read_by(None),
-            ExtendDeadline => link.read_by(Some(Instant::now() + ms(60_000))),
+            ClearDeadline => link.set_read_deadline(None),
+            ExtendDeadline => link.set_read_deadline(Some(Instant::now() + ms(60_000))),
             ClearAndRead => {
-                link.read_by(None);
+                link.set_read_deadline(None);
                 last_read.set(Some(link.read(&mut [0; 16], Instant::now() + ms(1000))));
             }
         };
@@ -72,7 +72,7 @@
     }
 }
 
-/// A deadline that is brought forward after `read_while` has evaluated it and before it is set. Without the second
+/// A deadline that is brought forward after `read_with_moving_deadline` has evaluated it and before it is set. Without the second
 /// evaluation the read would wait for the old deadline.
 #[test]
 fn a_deadline_brought_forward_while_it_is_set_holds() {
@@ -80,11 +80,11 @@
     watch::add(&link.inner);
     let (start, evaluations) = (Instant::now(), AtomicU32::new(0));
     let (near_deadline, far_deadline) = (start + ms(100), start + ms(5000));
-    let got = link.read_while(&mut [0; 16], || {
+    let got = link.read_with_moving_deadline(&mut [0; 16], || {
         let is_first = evaluations.fetch_add(1, Ordering::SeqCst) == 0;
         if is_first {
             // No read waits yet, so that this has no effect; the next evaluation returns the nearer deadline.
-            link.read_by_at_most(near_deadline);
+            link.shorten_read_deadline(near_deadline);
         }
         Some(if is_first { far_deadline } else { near_deadline })
     });
--- a/crates/net/tests/waits.rs
+++ b/crates/net/tests/waits.rs
@@ -6,7 +6,7 @@
 use std::os::fd::OwnedFd;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
-use tulipstall_net::{Fault, Link, Listener, set_up, spawn};
+use tulipstall_net::{Fault, Link, Listener, configure_coroutines, spawn};
 
 const SHORT: Duration = Duration::from_millis(200);
 
@@ -32,7 +32,7 @@
 /// loopback address, and connecting to it reaches the local machine.
 #[test]
 fn addresses_are_used_as_given() {
-    set_up(1, 128 << 10);
+    configure_coroutines(1, 128 << 10);
     let listener = Listener::bind("0.0.0.0:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("an address");
     let connected = spawn(move || Link::connect(&address, SHORT).is_ok()).join().expect("no panic");
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_wait_ends_by_its_deadline() {
-    set_up(1, 128 << 10);
+    configure_coroutines(1, 128 << 10);
     let (address, _queue) = listener_with_full_queue();
     let until = || Instant::now() + SHORT;
     type Wait = Box<dyn FnOnce() -> Result<(), Fault> + Send>;
@@ -88,14 +88,14 @@
 fn a_link_that_is_shut_returns_no_bytes() {
     type EndLink = fn(&Link);
     let cases: [(&str, EndLink, Option<usize>); 3] =
-        [("open", |_| {}, Some(3)), ("shut", Link::shut, None), ("finished", Link::finish, None)];
+        [("open", |_| {}, Some(3)), ("shut", Link::shut, None), ("finished", Link::shut_write, None)];
     for (name, end_link, expected) in cases {
         let (link, mut peer) = pair();
         peer.write_all(b"ask").expect("room");
-        while !link.stale() {
+        while !link.is_stale() {
             std::thread::sleep(Duration::from_millis(1));
         }
-        assert!(!link.ended(), "{name}: the peer has sent bytes and not closed");
+        assert!(!link.is_closed_by_peer(), "{name}: the peer has sent bytes and not closed");
         link.write(b"bye", Instant::now() + SHORT).expect("room");
         end_link(&link);
         assert_eq!(link.read(&mut [0; 8], Instant::now() + SHORT).ok(), expected, "{name}");
@@ -110,13 +110,13 @@
 fn a_close_by_the_peer_is_seen_without_reading() {
     for reset in [false, true] {
         let (link, peer) = pair();
-        assert!(!link.ended());
+        assert!(!link.is_closed_by_peer());
         if reset {
             SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("an option");
         }
         drop(peer);
         let until = Instant::now() + SHORT;
-        while !link.ended() {
+        while !link.is_closed_by_peer() {
             assert!(Instant::now() < until, "reset: {reset}");
             std::thread::sleep(Duration::from_millis(1));
         }
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tulipstall::interface::Outcome;
 use tulipstall_core::{Input, ShotReport, TaskId};
-use tulipstall_net::{Fault, Link, Reply, sockets_held};
+use tulipstall_net::{Fault, Link, Reply, open_sockets};
 use tulipstall_platform::host::{self, ANSWER_LIMITS, AnswerKind, EventSplitter};
 use tulipstall_platform::reuse::ReuseHistory;
 use tulipstall_platform::{release, timeouts};
@@ -94,14 +94,14 @@
 fn outcome_without_answer(fault: Fault) -> Outcome {
     match fault {
         Fault::TimedOut => Outcome::TimedOut,
-        Fault::Rubbish => Outcome::Spoilt,
-        Fault::Broken | Fault::NoConnection | Fault::OwnMachine => Outcome::Broken,
+        Fault::Malformed => Outcome::Spoilt,
+        Fault::Broken | Fault::NoConnection | Fault::LocalMachine => Outcome::Broken,
     }
 }
 
 /// Outcome without a connection: provably nothing has run. The host is blamed only for its own faults.
 fn outcome_without_connection(fault: Fault) -> Outcome {
-    if fault == Fault::OwnMachine { Outcome::Moot } else { Outcome::NoConnection }
+    if fault == Fault::LocalMachine { Outcome::Moot } else { Outcome::NoConnection }
 }
 
 /// Delay before another try to connect after a local shortage.
@@ -118,7 +118,7 @@
     /// A pooled connection to a host that is worth using, and how long it was idle.
     fn pooled_link(&self, endpoint: &Endpoint) -> Option<(Link, Duration)> {
         let now = self.now();
-        endpoint.pool.idle_if(|idle| lock(&self.reuse_history).worth_using(now, idle))
+        endpoint.pool.take_idle_if(|idle| lock(&self.reuse_history).worth_using(now, idle))
     }
 
     /// A pooled connection, with its idle time; otherwise a new one.
@@ -136,16 +136,16 @@
         let (until, retry_until) = (Instant::now() + within, Instant::now() + within.min(LOCAL_RETRY_WINDOW));
         loop {
             let link = Link::connect(&endpoint.address(), time_left(until));
-            if !matches!(link, Err(Fault::OwnMachine)) {
+            if !matches!(link, Err(Fault::LocalMachine)) {
                 return link;
             }
             if time_left(retry_until).is_zero() {
-                return Err(Fault::OwnMachine);
+                return Err(Fault::LocalMachine);
             }
             tracing::debug!(host = endpoint.name, "no connection for want of something of the own machine");
             tulipstall_net::sleep(LOCAL_RETRY_DELAY);
             if time_left(until).is_zero() {
-                return Err(Fault::OwnMachine);
+                return Err(Fault::LocalMachine);
             }
         }
     }
@@ -153,8 +153,8 @@
     /// Whether an attempt can get a connection. Closes the idle ones if there is no descriptor left for a new
     /// one.
     fn can_connect(&self, endpoint: &Endpoint) -> bool {
-        let within_budget = || self.socket_budget.may_connect(sockets_held());
-        endpoint.pool.any() || within_budget() || {
+        let within_budget = || self.socket_budget.may_connect(open_sockets());
+        endpoint.pool.has_idle() || within_budget() || {
             self.hosts.close_idle();
             within_budget()
         }
@@ -272,7 +272,7 @@
         tracing::debug!(id, attempt = self.number, host = endpoint.name, bytes, idle_ms, "attempt written");
         drop(request);
         let (written, mut reply) = (Instant::now(), Reply::new(link, ANSWER_LIMITS));
-        let head = reply.head_begun(self.deadline, timeouts::ANSWER_START_TIMEOUT);
+        let head = reply.head_within(self.deadline, timeouts::ANSWER_START_TIMEOUT);
         let broken = matches!(head, Err(Fault::Broken));
         let stale = broken && !reply.reader.any() && ReuseHistory::was_stale(written.elapsed());
         if let Some(idle) = idle
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 use tulipstall_core::TaskId;
 use tulipstall_http1::{Head, Limits, Refusal, RequestReader, Step};
-use tulipstall_net::errors::{self, Tells};
-use tulipstall_net::{Fault, Link, Listener, READ, sockets_held, spawn};
+use tulipstall_net::errors::{self, Cause};
+use tulipstall_net::{Fault, Link, Listener, READ_BUFFER_BYTES, open_sockets, spawn};
 use tulipstall_platform::call::{self, MAX_BODY_BYTES, Rejection};
 use tulipstall_platform::host::ForwardedCall;
 use tulipstall_platform::socket_budget::{
@@ -102,7 +102,7 @@
 
     /// Whether the client has disconnected, even if its reader has not noticed yet.
     pub fn is_gone(&self) -> bool {
-        self.has_left() || self.link.ended()
+        self.has_left() || self.link.is_closed_by_peer()
     }
 
     /// Changes `busy` unless the connection has been ended.
@@ -149,8 +149,9 @@
         let before = self.busy.fetch_update(Ordering::SeqCst, Ordering::SeqCst, ended);
         if let Ok(before) = before {
             if before & PARTIAL_FLAG != 0 {
-                let _ =
-                    self.link.write_now(plain_response(408, "too many connections", false, None).as_bytes());
+                let _ = self
+                    .link
+                    .write_available(plain_response(408, "too many connections", false, None).as_bytes());
             }
             self.has_left.store(true, Ordering::Release);
             self.link.shut();
@@ -173,7 +174,7 @@
     /// Reads and discards input up to a limit, so that the client's disconnect is noticed; ends when the
     /// requests read before have been answered, as that closes the connection.
     fn discard_input(&self) {
-        let (mut buffer, mut remaining) = ([0; READ], MAX_DISCARDED_BYTES);
+        let (mut buffer, mut remaining) = ([0; READ_BUFFER_BYTES], MAX_DISCARDED_BYTES);
         while remaining > 0 {
             match self.link.read_until(&mut buffer, None) {
                 Ok(got) if got > 0 => remaining = remaining.saturating_sub(got),
@@ -256,7 +257,7 @@
     /// are short, many connections arriving at once must not outrun that; otherwise there is nothing to wait
     /// for, and other coroutines in the queue take their turn.
     fn let_evicted_close(&self) {
-        if self.socket_budget.is_nearly_exhausted(sockets_held()) {
+        if self.socket_budget.is_nearly_exhausted(open_sockets()) {
             tulipstall_net::sleep(Duration::from_millis(2));
         } else {
             may::coroutine::yield_now();
@@ -283,7 +284,7 @@
                 Err(error) => {
                     // Closing idle connections helps only against a lack of descriptors; other errors pass by
                     // themselves.
-                    if errors::tells(&error) == Tells::NoDescriptor {
+                    if errors::cause(&error) == Cause::NoDescriptor {
                         shared.hosts.close_idle();
                     }
                     tracing::debug!(%error, "accepting a connection failed");
@@ -291,7 +292,7 @@
                     continue;
                 }
             };
-            let (clients, held) = (shared.clients.present_count() + 1, sockets_held());
+            let (clients, held) = (shared.clients.present_count() + 1, open_sockets());
             // Evicts only after accepting: room made for a connection that may come later is lost to others.
             let eviction = shared.socket_budget.eviction_for_new_client(clients, held);
             let has_room = match eviction {
@@ -305,8 +306,9 @@
             if !has_room {
                 tracing::debug!(clients, held, "client rejected: no socket left");
                 let retry_after = shared.retry_advice(Duration::from_millis(200));
-                let _ = link
-                    .write_now(plain_response(503, "too many connections", false, retry_after).as_bytes());
+                let _ = link.write_available(
+                    plain_response(503, "too many connections", false, retry_after).as_bytes(),
+                );
                 link.shut();
                 shared.let_evicted_close();
                 continue;
@@ -362,7 +364,7 @@
                     None if is_first => client.since() + FIRST_BYTE_TIMEOUT,
                     None => Instant::now() + shared.socket_budget.idle_timeout(shared.clients.count()),
                 };
-                let mut buffer = [0; READ];
+                let mut buffer = [0; READ_BUFFER_BYTES];
                 // No time limit while an answer is pending: the end of the last answer sets it.
                 match client.link.read_until(&mut buffer, (!pending).then_some(until)) {
                     Ok(got) if got > 0 => reader.feed(&buffer[..got]),
@@ -419,13 +421,13 @@
     let client = &answering.0;
     let had_left = client.has_left();
     client.mark_left();
-    if !had_left && shared.socket_budget.may_linger(sockets_held()) {
+    if !had_left && shared.socket_budget.may_linger(open_sockets()) {
         // Closing a socket with unread input would also discard the answer in transit. That input stays
         // unread: a client whose request crosses the close sends it again elsewhere.
-        client.link.finish();
+        client.link.shut_write();
         for _ in 0..LINGER_TIMEOUT.as_millis() / 10 {
             tulipstall_net::sleep(Duration::from_millis(10));
-            if client.link.ended() {
+            if client.link.is_closed_by_peer() {
                 break;
             }
         }
@@ -503,7 +505,7 @@
                     if let (false, partial) = self.client.end_request() {
                         let idle = self.shared.socket_budget.idle_timeout(self.shared.clients.count());
                         let timeout = if partial { REQUEST_TIMEOUT } else { idle };
-                        self.client.link.read_by(Some(Instant::now() + timeout));
+                        self.client.link.set_read_deadline(Some(Instant::now() + timeout));
                     }
                     keep_open && !self.ends_for_stop()
                 }
@@ -517,7 +519,7 @@
                         let _ = self
                             .client
                             .link
-                            .write_now(plain_response(408, "too slow", false, None).as_bytes());
+                            .write_available(plain_response(408, "too slow", false, None).as_bytes());
                     }
                     false
                 }
@@ -537,7 +539,7 @@
         if status != 200 {
             let (clients, in_hand) =
                 (self.shared.clients.count(), self.shared.in_hand.load(Ordering::Relaxed));
-            tracing::debug!(status, why, clients, in_hand, held = sockets_held(), "request rejected");
+            tracing::debug!(status, why, clients, in_hand, held = open_sockets(), "request rejected");
         }
         self.client.write(plain_response(status, why, keep_alive, retry_after).as_bytes()).is_ok()
             && keep_alive
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -72,7 +72,7 @@
         }
         if status == HostStatus::Gone {
             let by = Instant::now() + timeouts::silence_timeout(false, true);
-            lock(&self.streams).iter().for_each(|(_, link)| link.read_by_at_most(by));
+            lock(&self.streams).iter().for_each(|(_, link)| link.shorten_read_deadline(by));
         }
     }
 
@@ -138,7 +138,7 @@
             zone: endpoint.zone,
             in_own_zone: Some(endpoint.zone) == self.own_zone,
             suspected: endpoint.suspected.load(Ordering::Relaxed),
-            connected: endpoint.pool.any(),
+            connected: endpoint.pool.has_idle(),
             attempts: asked.iter().filter(|before| before.name == endpoint.name).count() as u32,
         };
         let candidates: Vec<release::Candidate> = open.iter().map(candidate).collect();
@@ -160,7 +160,7 @@
 
     /// Returns a connection to the pool if the socket budget allows it.
     pub fn pool_link(&self, shared: &Shared, endpoint: &Endpoint, link: Link) {
-        if endpoint.is_open() && shared.socket_budget.may_pool(tulipstall_net::sockets_held()) {
+        if endpoint.is_open() && shared.socket_budget.may_pool(tulipstall_net::open_sockets()) {
             endpoint.pool.put(link);
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -132,7 +132,7 @@
         let to_text = |error: io::Error| error.to_string();
         // One worker, as the platform assigns part of one core. Set up once per process.
         static COROUTINES: Once = Once::new();
-        COROUTINES.call_once(|| tulipstall_net::set_up(1, COROUTINE_STACK_BYTES));
+        COROUTINES.call_once(|| tulipstall_net::configure_coroutines(1, COROUTINE_STACK_BYTES));
         let (sender, receiver) = may::sync::mpsc::channel();
         let span = |name: &str, default: Duration| start.config.duration(name).unwrap_or(default);
         // Half of the time after which hosts close idle connections: beyond that a request could cross the
@@ -197,7 +197,7 @@
         thread::sleep(ACCEPT_AFTER_STOP);
         // A request that is complete only now might not be answered before the platform kills the process.
         shared.rejecting.store(true, Ordering::SeqCst);
-        self.listener.finish();
+        self.listener.close_when_drained();
         loop {
             shared.clients.close_idle();
             // In this order: an accepted connection is on the list of clients before `accepting` is cleared.
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -50,7 +50,7 @@
             let address = lock(&shared.registry).0;
             // Even if a list makes its processing panic, the next one is requested.
             let followed = AssertUnwindSafe(|| follow(&shared, address, &timeouts, &mut state));
-            let followed = catch_unwind(followed).unwrap_or(Err(RequestError::Fault(Fault::Rubbish)));
+            let followed = catch_unwind(followed).unwrap_or(Err(RequestError::Fault(Fault::Malformed)));
             let mut pause = timeouts.retry_pause;
             if let Err(error) = followed {
                 let why = match error {
@@ -98,17 +98,17 @@
     let (open_link, until) = (link.take().ok_or(Fault::Broken)?, Instant::now() + within);
     open_link.write(request.as_bytes(), until)?;
     let mut reply = Reply::new(open_link, LIST_LIMITS);
-    let head = reply.head_begun(until, rest)?;
+    let head = reply.head_within(until, rest)?;
     if matches!(head.status, 429 | 503) {
         return Err(RequestError::Rejected);
     }
     let body = reply.whole_body(Instant::now() + rest)?;
     if head.status != 200 {
-        return Err(Fault::Rubbish.into());
+        return Err(Fault::Malformed.into());
     }
     let list = parse(&body).map_err(|why| {
         tracing::warn!(why, "malformed list ignored");
-        Fault::Rubbish
+        Fault::Malformed
     })?;
     if reply.reader.reusable() {
         *link = Some(reply.link);
@@ -166,11 +166,11 @@
             let closed = |line: &Line| line.status() != HostStatus::Running;
             let hosts = list.hosts.into_iter().filter(closed).collect();
             shared.hosts.apply(shared, &List { hosts, ..list }, false);
-            return Err(Fault::Rubbish.into());
+            return Err(Fault::Malformed.into());
         }
         if as_of.is_some_and(|as_of| list.seq < as_of) && !list.whole {
             // The registry has restarted: changes since then do not apply to the list from before.
-            return Err(Fault::Rubbish.into());
+            return Err(Fault::Malformed.into());
         }
         if std::mem::take(&mut state.failing) {
             tracing::info!(registry = %address, "the registry answers again");
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -41,13 +41,13 @@
         bytes.clear();
         received.clear();
         let (end_marker_seen, endpoint) = (begun.events.end_marker_seen, &begun.endpoint);
-        match begun.reply.body_while(&mut received, &|| {
+        match begun.reply.body_with_moving_deadline(&mut received, &|| {
             last_read + timeouts::silence_timeout(end_marker_seen, endpoint.is_removed())
         }) {
             Ok(ended) => begun.ended = ended,
             Err(_) if client.has_left() => break (Outcome::Cancelled, "client left"),
             Err(Fault::TimedOut) => break (Outcome::Broken, "silent"),
-            Err(Fault::Rubbish) => break (Outcome::Spoilt, "spoilt"),
+            Err(Fault::Malformed) => break (Outcome::Spoilt, "spoilt"),
             Err(_) => break (Outcome::Broken, "broken"),
         }
         last_read = Instant::now();
--- a/crates/node/src/release.rs
+++ b/crates/node/src/release.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tulipstall::interface::ReleaseReason;
-use tulipstall_net::{Fault, Reply, sockets_held, spawn};
+use tulipstall_net::{Fault, Reply, open_sockets, spawn};
 use tulipstall_platform::host::{self, ANSWER_LIMITS};
 use tulipstall_platform::release::{self, Wave};
 
@@ -90,7 +90,7 @@
     fn send(&self, wave: Wave, number: u32, asked: &mut Vec<Arc<Endpoint>>, calls: &Arc<Calls>) {
         let shared = &self.shared;
         for call in 0..wave.calls {
-            if call > 0 && !shared.socket_budget.may_connect(sockets_held()) {
+            if call > 0 && !shared.socket_budget.may_connect(open_sockets()) {
                 return;
             }
             let Some(endpoint) = shared.hosts.next_to_ask(&self.held.server, asked) else { return };
@@ -144,7 +144,7 @@
 
 impl Calls {
     fn record(&self, endpoint: &Endpoint, answer: Result<(), Fault>) {
-        if answer != Err(Fault::OwnMachine) {
+        if answer != Err(Fault::LocalMachine) {
             endpoint.set_reachable(answer.is_ok());
         }
         match answer {
@@ -184,5 +184,5 @@
     let head = reply.head(until)?;
     reply.whole_body(until)?;
     return_to_pool(shared, endpoint, reply);
-    if head.status < 300 { Ok(()) } else { Err(Fault::Rubbish) }
+    if head.status < 300 { Ok(()) } else { Err(Fault::Malformed) }
 }
--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -185,8 +185,8 @@
     match fault {
         Fault::TimedOut if has_left => Answer::Left,
         Fault::TimedOut => Answer::Late,
-        Fault::Rubbish => Answer::Wrong("no HTTP".to_owned()),
-        Fault::Broken | Fault::NoConnection | Fault::OwnMachine => Answer::Cut,
+        Fault::Malformed => Answer::Wrong("no HTTP".to_owned()),
+        Fault::Broken | Fault::NoConnection | Fault::LocalMachine => Answer::Cut,
     }
 }
 
--- a/crates/rig/tests/losses.rs
+++ b/crates/rig/tests/losses.rs
@@ -94,7 +94,7 @@
 
 #[test]
 fn every_stream_is_delivered_in_full_or_ends_with_an_error() {
-    tulipstall_dispatcher::set_up_coroutines(Some(3), 64 << 10);
+    tulipstall_dispatcher::configure_coroutines(Some(3), 64 << 10);
     let mut specs: Vec<Spec> = (0..READERS).map(|cell| spec(Role::Read, cell as u32)).collect();
     specs.extend((0..WRITERS).map(|cell| spec(Role::Write, (cell % READERS) as u32)));
     // How many writers are lost at a time, the share of begun replayable streams that must be delivered, and how many
--- a/crates/rig/tests/paths.rs
+++ b/crates/rig/tests/paths.rs
@@ -24,7 +24,7 @@
     static ONCE: Once = Once::new();
     // Before the first coroutine. The stacks have a quarter of the usual size, and test builds have larger frames: what
     // passes here has a margin of at least four.
-    ONCE.call_once(|| tulipstall_dispatcher::set_up_coroutines(Some(3), 64 << 10));
+    ONCE.call_once(|| tulipstall_dispatcher::configure_coroutines(Some(3), 64 << 10));
     ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -391,7 +391,7 @@
                 let host = host.clone();
                 {
                     let mut inner = host.inner();
-                    inner.links.retain(|link| !link.stale());
+                    inner.links.retain(|link| !link.is_stale());
                     inner.links.push(link.clone());
                 }
                 spawn(move || serve::connection(&host, &link, generation));
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -13,7 +13,7 @@
 use tulipstall_http1::{Head, Limits, RequestReader, Step};
 use tulipstall_judge::HostEventKind;
 use tulipstall_net::sleep;
-use tulipstall_net::{Link, Pool, READ, Reply};
+use tulipstall_net::{Link, Pool, READ_BUFFER_BYTES, Reply};
 
 const HTTP_LIMITS: Limits = Limits { head: 16_384, line: 8192, headers: 64, body: 16 << 20 };
 /// A connection without a request for this long is closed.
@@ -50,7 +50,7 @@
     if connect_delay_ms > 0 {
         sleep(Duration::from_millis(connect_delay_ms));
     }
-    let mut buffer = [0; READ];
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
         match reader.poll() {
             Ok(Step::Request(head, body)) => {
@@ -159,7 +159,7 @@
 
     /// Whether the host has not crashed since and the client is still connected.
     fn still_wanted(&self) -> bool {
-        self.host.generation.load(Ordering::SeqCst) == self.generation && !self.link.stale()
+        self.host.generation.load(Ordering::SeqCst) == self.generation && !self.link.is_stale()
     }
 
     /// Sleeps in short steps, so that a crash or a client's disconnect is noticed. Returns whether the request is still
