--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -19,8 +19,8 @@
     Outcome, PossibleRun, ReleaseReason, Role,
 };
 use tulipstall::names::NameRegistry;
-use tulipstall_prefix::chain::BLOCK;
-use tulipstall_prefix::{Kept, Prefixes};
+use tulipstall_prefix::chain::BLOCK_TOKENS;
+use tulipstall_prefix::{CachedPrefix, PrefixIndex};
 
 /// Identifies a task in progress: its slot, and the generation of the slot, which changes each time the slot is reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -278,7 +278,7 @@
     /// The decisions' own table of sessions and shared texts.
     Table,
     /// An index of prompt contents.
-    Content(Box<Prefixes>),
+    Content(Box<PrefixIndex>),
     /// No estimates at all, as a baseline for comparison.
     Disabled,
 }
@@ -298,7 +298,7 @@
     active_tasks: usize,
     prefix_source: PrefixSource,
     /// Buffer for one prompt's estimates.
-    cached: Vec<Kept>,
+    cached: Vec<CachedPrefix>,
     /// For each host, when its process started, and whether it is listed.
     process_starts: Vec<(Duration, bool)>,
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -343,7 +343,7 @@
     }
 
     /// The index of prompt contents, if it is in use.
-    pub fn prefixes(&self) -> Option<&Prefixes> {
+    pub fn prefixes(&self) -> Option<&PrefixIndex> {
         match &self.prefix_source {
             PrefixSource::Content(prefixes) => Some(prefixes),
             PrefixSource::Table | PrefixSource::Disabled => None,
@@ -351,10 +351,10 @@
     }
 
     /// The current estimate of what each host has cached of a chain, longest first, as the decisions would get it.
-    pub fn cached_estimates(&mut self, now: Duration, chain: &[u64]) -> Vec<Kept> {
+    pub fn cached_estimates(&mut self, now: Duration, chain: &[u64]) -> Vec<CachedPrefix> {
         let mut cached = Vec::new();
         if let PrefixSource::Content(prefixes) = &mut self.prefix_source {
-            prefixes.ask(now, chain, &mut cached);
+            prefixes.estimate(now, chain, &mut cached);
         }
         cached
     }
@@ -464,13 +464,17 @@
         match &mut self.prefix_source {
             PrefixSource::Table => return,
             PrefixSource::Disabled => self.cached.clear(),
-            PrefixSource::Content(prefixes) => prefixes.ask(now, &request.chain, &mut self.cached),
+            PrefixSource::Content(prefixes) => prefixes.estimate(now, &request.chain, &mut self.cached),
         }
-        let tokens = |kept: &Kept| (f64::from(kept.blocks * BLOCK) * kept.belief) as u32;
-        let estimates =
-            self.cached.iter().map(|kept| (kept.host, tokens(kept).min(request.prompt_tokens))).collect();
+        let tokens =
+            |cached: &CachedPrefix| (f64::from(cached.blocks * BLOCK_TOKENS) * cached.confidence) as u32;
+        let estimates = self
+            .cached
+            .iter()
+            .map(|cached| (cached.host, tokens(cached).min(request.prompt_tokens)))
+            .collect();
         if let Some(entry) = self.entries.get_mut(task.slot as usize) {
-            entry.estimated_blocks.extend(self.cached.iter().map(|kept| (kept.host, kept.blocks)));
+            entry.estimated_blocks.extend(self.cached.iter().map(|cached| (cached.host, cached.blocks)));
         }
         self.apply_event(now, Event::CachedPrompt { cached: estimates }, out);
     }
@@ -486,8 +490,8 @@
         let share = f64::from(end.cached_tokens) / f64::from(end.prompt_tokens.max(1));
         let found = (share.min(1.0) * entry.chain.len() as f64).round() as u32;
         if end.prompt_tokens > 0 {
-            let forgot = prefixes.read(now, host, &entry.chain, estimated, found);
-            let tokens = |blocks: u32| u64::from(blocks) * u64::from(BLOCK);
+            let forgot = prefixes.record_read(now, host, &entry.chain, estimated, found);
+            let tokens = |blocks: u32| u64::from(blocks) * u64::from(BLOCK_TOKENS);
             self.counts.read_tokens += tokens(entry.chain.len() as u32);
             self.counts.thought_tokens += tokens(estimated);
             self.counts.found_tokens += tokens(found.min(estimated));
@@ -579,8 +583,8 @@
         let present = line.status != HostStatus::Gone;
         self.process_starts[host] = (if restarted { started } else { start }, present);
         let PrefixSource::Content(prefixes) = &mut self.prefix_source else { return };
-        let max_blocks = line.memory_tokens.map(|tokens| (tokens / f64::from(BLOCK)) as u32);
-        prefixes.listed(line.host, max_blocks, restarted || !present || !was_listed);
+        let max_blocks = line.memory_tokens.map(|tokens| (tokens / f64::from(BLOCK_TOKENS)) as u32);
+        prefixes.update_host(line.host, max_blocks, restarted || !present || !was_listed);
     }
 
     /// Cancels all shots in progress except one.
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -9,8 +9,8 @@
 use tulipstall_core::Core;
 use tulipstall_http1::{RequestEvent, RequestHead, RequestReader};
 use tulipstall_net::{Link, Listener, READ_BUFFER_BYTES, spawn};
-use tulipstall_prefix::Kept;
-use tulipstall_prefix::chain::BLOCK;
+use tulipstall_prefix::CachedPrefix;
+use tulipstall_prefix::chain::BLOCK_TOKENS;
 use tulipstall_settings::HostList;
 
 /// How long a control connection may be idle.
@@ -108,13 +108,14 @@
         let rows: Vec<Value> = rows
             .into_iter()
             .map(|(host, name)| {
-                let (held, belief) = prefixes.host(now, host);
-                json!({"host": name, "tokens": u64::from(held) * u64::from(BLOCK), "belief": belief})
+                let (held, confidence) = prefixes.host_status(now, host);
+                json!({"host": name, "tokens": u64::from(held) * u64::from(BLOCK_TOKENS), "belief": confidence})
             })
             .collect();
         Some(json!({
-            "blocks": blocks, "held": held, "most_blocks": prefixes.index().most_blocks(),
-            "bytes": prefixes.index().bytes(), "tokens_a_block": BLOCK, "doubted": prefixes.doubted(), "hosts": rows,
+            "blocks": blocks, "held": held, "most_blocks": prefixes.index().max_blocks(),
+            "bytes": prefixes.index().max_bytes(), "tokens_a_block": BLOCK_TOKENS,
+            "doubted": prefixes.fleet_suspected(), "hosts": rows,
         }))
     });
     match summary.flatten() {
@@ -133,16 +134,16 @@
     let cached = query_core(shared, move |core, now| {
         core.prefixes()?;
         let cached = core.cached_estimates(now, &chain);
-        let row = |kept: &Kept| {
-            let host = core.host_name(kept.host).unwrap_or_default();
-            json!({"host": host, "tokens": kept.blocks * BLOCK, "belief": kept.belief})
+        let row = |prefix: &CachedPrefix| {
+            let host = core.host_name(prefix.host).unwrap_or_default();
+            json!({"host": host, "tokens": prefix.blocks * BLOCK_TOKENS, "belief": prefix.confidence})
         };
         Some(cached.iter().map(row).collect::<Vec<Value>>())
     });
     match cached.flatten() {
         Some(cached) => reply::json(
             options,
-            &json!({"prompt_tokens_in_blocks": block_count as u64 * u64::from(BLOCK), "kept": cached})
+            &json!({"prompt_tokens_in_blocks": block_count as u64 * u64::from(BLOCK_TOKENS), "kept": cached})
                 .to_string(),
         ),
         None => no_index_response(options),
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -22,7 +22,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tulipstall_net::Listener;
-use tulipstall_prefix::chain::Key;
+use tulipstall_prefix::chain::HashKey;
 use tulipstall_recovery::TextBudget;
 use tulipstall_recovery::budget::{Budget, RecoveryRequest, Verdict};
 use tulipstall_recovery::pace::Paces;
@@ -69,7 +69,7 @@
     /// Number that tells this run of the process from others, in request ids and as the default seed.
     pub run_id: u64,
     /// Secret key for the hashes of prompts: random in each process and never written out.
-    pub prefix_key: Key,
+    pub prefix_key: HashKey,
     pub load_names: Vec<String>,
     /// Texts of begun answers, held so that another writer can continue a lost one.
     pub answers: Arc<TextBudget>,
@@ -93,7 +93,7 @@
         if prefixes.by == PrefixBy::Content {
             let salt =
                 customer.filter(|_| prefixes.customers_apart).map_or(0, |customer| u64::from(customer) + 1);
-            self.prefix_key.chain(salt, prompt, &mut chain);
+            self.prefix_key.hash_blocks(salt, prompt, &mut chain);
         }
         chain.into()
     }
@@ -251,12 +251,12 @@
 }
 
 /// A random key. It takes the operating system's randomness from the standard hasher's keys.
-fn random_key(run_id: u64) -> Key {
+fn random_key(run_id: u64) -> HashKey {
     use std::hash::{BuildHasher, RandomState};
     let mut key = [0; 16];
     key[..8].copy_from_slice(&RandomState::new().hash_one(run_id).to_le_bytes());
     key[8..].copy_from_slice(&RandomState::new().hash_one(!run_id).to_le_bytes());
-    Key(key)
+    HashKey(key)
 }
 
 fn signals() -> io::Result<signal_hook::iterator::Signals> {
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -15,7 +15,7 @@
 use tulipstall::interface::Outcome;
 use tulipstall_core::{Core, Input, JsonLinesRecorder, Output, PrefixSource, TaskId, TaskRequest};
 use tulipstall_net::spawn;
-use tulipstall_prefix::Prefixes;
+use tulipstall_prefix::PrefixIndex;
 use tulipstall_settings::PrefixBy;
 
 /// A message to the owner of the decisions.
@@ -78,7 +78,9 @@
         None => Core::new(seed, config),
     };
     core.set_prefix_source(match shared.settings.prefixes.by {
-        PrefixBy::Content => PrefixSource::Content(Box::new(Prefixes::new(shared.settings.prefixes.bytes))),
+        PrefixBy::Content => {
+            PrefixSource::Content(Box::new(PrefixIndex::new(shared.settings.prefixes.bytes)))
+        }
         PrefixBy::Table => PrefixSource::Table,
         PrefixBy::Nothing => PrefixSource::Disabled,
     });
--- a/crates/prefix/benches/index.rs
+++ b/crates/prefix/benches/index.rs
@@ -5,10 +5,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
-use tulipstall_prefix::chain::{BLOCK, Key};
+use tulipstall_prefix::chain::{BLOCK_TOKENS, HashKey};
 use tulipstall_prefix::index::Index;
 
-const KEY: Key = Key(*b"0123456789abcdef");
+const KEY: HashKey = HashKey(*b"0123456789abcdef");
 
 /// The chain of a text of `tokens` tokens, the first `shared_tokens` of which are the same for all texts with
 /// the same `shared_text`.
@@ -22,7 +22,7 @@
         text.push_str(&format!("{own_text:016x} "));
     }
     let mut out = Vec::new();
-    KEY.chain(0, &text, &mut out);
+    KEY.hash_blocks(0, &text, &mut out);
     out
 }
 
@@ -35,7 +35,7 @@
     let text = "the ferry leaves at eight ".repeat(5000);
     let start = Instant::now();
     let mut out = Vec::new();
-    KEY.chain(0, &text[..128_000], &mut out);
+    KEY.hash_blocks(0, &text[..128_000], &mut out);
     println!(
         "hashing a 32,000-token prompt: {:.0} us, {} blocks",
         start.elapsed().as_nanos() as f64 / 1e3,
@@ -109,5 +109,8 @@
         );
     }
     let index = Index::new(64 << 20);
-    println!("64 MiB: {} tokens of texts, each cached at three hosts", index.most_blocks() * BLOCK as usize);
+    println!(
+        "64 MiB: {} tokens of texts, each cached at three hosts",
+        index.max_blocks() * BLOCK_TOKENS as usize
+    );
 }
--- a/crates/prefix/src/chain.rs
+++ b/crates/prefix/src/chain.rs
@@ -9,20 +9,20 @@
 /// Tokens per block, estimated as a quarter of a token for each ASCII byte and half a token for each other
 /// character. This is twice the block size of 16 tokens that engines commonly use for their caches: it halves
 /// the work, and less than one block of a cached text is overlooked.
-pub const BLOCK: u32 = 32;
+pub const BLOCK_TOKENS: u32 = 32;
 
 /// The secret key of the hash.
 #[derive(Clone, Copy)]
-pub struct Key(pub [u8; 16]);
+pub struct HashKey(pub [u8; 16]);
 
-impl Key {
+impl HashKey {
     /// Appends the hashes of the complete blocks of a text. Where a block begins depends only on the text
     /// before it.
-    pub fn chain(&self, salt: u64, text: &str, out: &mut Vec<u64>) {
+    pub fn hash_blocks(&self, salt: u64, text: &str, out: &mut Vec<u64>) {
         let (mut previous, mut from, mut quarter_tokens) = (salt, 0, 0);
         for (at, c) in text.char_indices() {
             quarter_tokens += if c.is_ascii() { 1 } else { 2 };
-            if quarter_tokens >= 4 * BLOCK {
+            if quarter_tokens >= 4 * BLOCK_TOKENS {
                 let end = at + c.len_utf8();
                 let mut hasher = SipHasher24::new_with_key(&self.0);
                 hasher.write_u64(previous);
--- a/crates/prefix/src/index.rs
+++ b/crates/prefix/src/index.rs
@@ -109,7 +109,7 @@
     lookup: u32,
     /// Scratch space: the blocks of one prompt.
     path: Vec<u32>,
-    bytes: usize,
+    max_bytes: usize,
 }
 
 fn pair_hash(block: u32, host: u32) -> u64 {
@@ -144,7 +144,7 @@
             seen_in_lookup: Vec::new(),
             lookup: 0,
             path: Vec::new(),
-            bytes,
+            max_bytes: bytes,
         }
     }
 
@@ -154,13 +154,13 @@
     }
 
     /// Maximum number of blocks.
-    pub fn most_blocks(&self) -> usize {
+    pub fn max_blocks(&self) -> usize {
         self.max_blocks
     }
 
     /// Maximum memory in bytes.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    pub fn max_bytes(&self) -> usize {
+        self.max_bytes
     }
 
     /// Number of blocks that a host is estimated to have cached.
--- a/crates/prefix/tests/confidence.rs
+++ b/crates/prefix/tests/confidence.rs
@@ -1,9 +1,9 @@
 //! Confidence in the index: a single host, and many hosts that lose their caches at once.
 
 use std::time::Duration;
-use tulipstall_prefix::chain::Key;
+use tulipstall_prefix::chain::HashKey;
 use tulipstall_prefix::confidence::{Confidence, Evidence};
-use tulipstall_prefix::{Kept, Prefixes};
+use tulipstall_prefix::{CachedPrefix, PrefixIndex};
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -88,45 +88,45 @@
 /// it reads afterwards is reported at once with full confidence.
 #[test]
 fn after_a_cache_loss_only_new_reads_count() {
-    let key = Key([7; 16]);
+    let key = HashKey([7; 16]);
     let chain = |text: u32| {
         let mut out = Vec::new();
-        key.chain(0, &format!("text {text} ").repeat(200), &mut out);
+        key.hash_blocks(0, &format!("text {text} ").repeat(200), &mut out);
         out
     };
-    let mut prefixes = Prefixes::new(1 << 20);
-    prefixes.listed(0, Some(10_000), false);
-    let mut estimates: Vec<Kept> = Vec::new();
+    let mut prefixes = PrefixIndex::new(1 << 20);
+    prefixes.update_host(0, Some(10_000), false);
+    let mut estimates: Vec<CachedPrefix> = Vec::new();
     for text in 0..50 {
-        prefixes.read(s(1.0), 0, &chain(text), 0, 0);
+        prefixes.record_read(s(1.0), 0, &chain(text), 0, 0);
     }
     for text in 0..2 {
-        prefixes.ask(s(2.0), &chain(text), &mut estimates);
+        prefixes.estimate(s(2.0), &chain(text), &mut estimates);
         let estimated = estimates[0].blocks;
         assert_eq!(estimated as usize, chain(text).len());
-        prefixes.read(s(2.0), 0, &chain(text), estimated, 0);
+        prefixes.record_read(s(2.0), 0, &chain(text), estimated, 0);
         // A new text between the two contradictions has full confidence at once, while the old ones are
         // suspected.
-        prefixes.read(s(2.0), 0, &chain(60 + text), 0, 0);
+        prefixes.record_read(s(2.0), 0, &chain(60 + text), 0, 0);
         for (other, expected) in [(text, true), (60 + text, true), (49, false)] {
-            prefixes.ask(s(2.0), &chain(other), &mut estimates);
-            let certain = estimates.first().is_some_and(|estimate| estimate.belief == 1.0);
+            prefixes.estimate(s(2.0), &chain(other), &mut estimates);
+            let certain = estimates.first().is_some_and(|estimate| estimate.confidence == 1.0);
             assert_eq!(certain, expected, "text {other} after text {text}");
         }
     }
     for text in 2..50 {
-        prefixes.ask(s(3.0), &chain(text), &mut estimates);
+        prefixes.estimate(s(3.0), &chain(text), &mut estimates);
         assert!(estimates.is_empty(), "text {text} is still reported");
     }
     for text in [0, 1, 60, 61] {
-        prefixes.ask(s(3.0), &chain(text), &mut estimates);
+        prefixes.estimate(s(3.0), &chain(text), &mut estimates);
         assert_eq!(
-            (estimates.len(), estimates[0].blocks as usize, estimates[0].belief),
+            (estimates.len(), estimates[0].blocks as usize, estimates[0].confidence),
             (1, chain(text).len(), 1.0)
         );
     }
     // The host was restarted: nothing is cached any more.
-    prefixes.listed(0, Some(10_000), true);
-    prefixes.ask(s(4.0), &chain(1), &mut estimates);
+    prefixes.update_host(0, Some(10_000), true);
+    prefixes.estimate(s(4.0), &chain(1), &mut estimates);
     assert!(estimates.is_empty());
 }
--- a/crates/prefix/tests/flood.rs
+++ b/crates/prefix/tests/flood.rs
@@ -4,7 +4,7 @@
 use cap::Cap;
 use std::alloc::System;
 use std::time::Duration;
-use tulipstall_prefix::chain::Key;
+use tulipstall_prefix::chain::HashKey;
 use tulipstall_prefix::index::Index;
 
 #[global_allocator]
@@ -12,7 +12,7 @@
 
 fn chain(text: u32) -> Vec<u64> {
     let mut out = Vec::new();
-    Key(*b"0123456789abcdef").chain(
+    HashKey(*b"0123456789abcdef").hash_blocks(
         0,
         &format!("ย่อหน้า {text} the ferry leaves at {text:04} ").repeat(32),
         &mut out,
--- a/crates/prefix/tests/model.rs
+++ b/crates/prefix/tests/model.rs
@@ -5,10 +5,10 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use tulipstall_prefix::chain::{BLOCK, Key};
+use tulipstall_prefix::chain::{BLOCK_TOKENS, HashKey};
 use tulipstall_prefix::index::Index;
 
-const KEY: Key = Key(*b"0123456789abcdef");
+const KEY: HashKey = HashKey(*b"0123456789abcdef");
 
 /// A text with a paragraph for each choice. Texts with the same first choices share a prefix.
 fn text(choices: &[u32]) -> String {
@@ -20,7 +20,7 @@
 
 fn chain(text: &str) -> Vec<u64> {
     let mut out = Vec::new();
-    KEY.chain(0, text, &mut out);
+    KEY.hash_blocks(0, text, &mut out);
     out
 }
 
@@ -148,12 +148,12 @@
     assert!(same > 0 && same < a.len(), "{same} of {}", a.len());
     // All complete blocks of the shared prefix. 128 bytes are one block of ASCII; other text has fewer tokens
     // per byte.
-    assert!((shared / (4 * BLOCK as usize)) <= same, "{same} blocks of {shared} bytes");
+    assert!((shared / (4 * BLOCK_TOKENS as usize)) <= same, "{same} blocks of {shared} bytes");
     assert_eq!(chain(&format!("{one}{}", "x".repeat(1000)))[..a.len()], a[..]);
     let mut salted = Vec::new();
-    KEY.chain(7, &one, &mut salted);
+    KEY.hash_blocks(7, &one, &mut salted);
     let mut keyed = Vec::new();
-    Key(*b"another key here").chain(0, &one, &mut keyed);
+    HashKey(*b"another key here").hash_blocks(0, &one, &mut keyed);
     assert!(a.iter().all(|hash| !salted.contains(hash) && !keyed.contains(hash)));
     assert!(chain("").is_empty() && chain("short").is_empty());
 }
