--- a/crates/cli/benches/added.rs
+++ b/crates/cli/benches/added.rs
@@ -70,7 +70,8 @@
         let dispatched = run(&load(Target::Dispatcher(listen), streams / answer_s, 6.0))?;
         print_row("dispatched", &dispatched);
         let added_ms = |quantile: f64| {
-            let first_token_ms = |report: &Report| report.first.value_at_quantile(quantile) as f64 / 1e3;
+            let first_token_ms =
+                |report: &Report| report.first_token_us.value_at_quantile(quantile) as f64 / 1e3;
             first_token_ms(&dispatched) - first_token_ms(&direct)
         };
         println!("added to a first token: {:.2} ms at p50, {:.2} ms at p99", added_ms(0.5), added_ms(0.99));
@@ -153,9 +154,9 @@
     let ms = |value: u64| value as f64 / 1e3;
     println!(
         "{name:12}{:>12.2}{:>12.2}{:>12.2}{:>12.0}{:>12}",
-        ms(report.first.value_at_quantile(0.5)),
-        ms(report.first.value_at_quantile(0.99)),
-        ms(report.whole.value_at_quantile(0.5)),
+        ms(report.first_token_us.value_at_quantile(0.5)),
+        ms(report.first_token_us.value_at_quantile(0.99)),
+        ms(report.total_us.value_at_quantile(0.5)),
         report.tokens as f64 / report.took.as_secs_f64(),
         format!("{}/{}", report.delivered(), report.sent),
     );
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -214,7 +214,7 @@
     tulipstall_dispatcher::wait_for_signal().map_err(|error| error.to_string())?;
     let Some(path) = seen else { return Ok(()) };
     let mut text = String::new();
-    for line in fleet.log.lines() {
+    for line in fleet.log.events() {
         text.push_str(&serde_json::to_string(&line).map_err(|error| error.to_string())?);
         text.push('\n');
     }
@@ -285,7 +285,7 @@
         fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     day::report(&script, &outcome, &mut io::stdout().lock()).map_err(|error| error.to_string())?;
-    if outcome.good() { Ok(()) } else { Err("the run failed a rule or a check".to_owned()) }
+    if outcome.passed() { Ok(()) } else { Err("the run failed a rule or a check".to_owned()) }
 }
 
 fn main() -> ExitCode {
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -190,7 +190,7 @@
 
 impl Outcome {
     /// Whether every rule was kept and every check passed.
-    pub fn good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.verdicts.iter().all(|verdict| verdict.violations.is_empty())
             && self.checks.iter().all(|(_, check)| check.is_ok())
     }
@@ -352,7 +352,7 @@
     let (attempts, notices, kills) = lock(&playback.record).clone();
     let record = Record {
         params: rule_params(&playback, &rules),
-        host_events: playback.fleet.log.lines(),
+        host_events: playback.fleet.log.events(),
         attempts,
         notices,
         kills,
--- a/crates/rig/src/demo.rs
+++ b/crates/rig/src/demo.rs
@@ -30,7 +30,7 @@
         writeln!(out, "event: {}\n  {}", event.name, event.data)?;
     }
     writeln!(out, "answer ({}): {}", response.stop_reason, response.text)?;
-    for line in fleet.log.lines() {
+    for line in fleet.log.events() {
         match line.kind {
             HostEventKind::Read => writeln!(out, "read by {}", line.host)?,
             HostEventKind::StateTaken(_) => writeln!(out, "state fetched from {}", line.host)?,
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -46,11 +46,11 @@
     /// The number of answers by kind.
     pub answers: BTreeMap<String, u64>,
     /// Microseconds from the scheduled time of a request to its first token.
-    pub first: Histogram<u64>,
+    pub first_token_us: Histogram<u64>,
     /// Microseconds from the scheduled time of a request to its end.
-    pub whole: Histogram<u64>,
+    pub total_us: Histogram<u64>,
     /// How late requests were sent, in microseconds. This delay is the generator's own.
-    pub lag: Histogram<u64>,
+    pub send_delay_us: Histogram<u64>,
     pub tokens: u64,
     pub took: Duration,
 }
@@ -71,9 +71,9 @@
     let report = Report {
         sent: 0,
         answers: BTreeMap::new(),
-        first: histogram()?,
-        whole: histogram()?,
-        lag: histogram()?,
+        first_token_us: histogram()?,
+        total_us: histogram()?,
+        send_delay_us: histogram()?,
         tokens: 0,
         took: Duration::ZERO,
     };
@@ -110,10 +110,12 @@
                 report.sent += 1;
                 report.tokens += result.tokens;
                 // Values beyond the bounds count at the bounds.
-                report.lag.saturating_record(sent.saturating_duration_since(due).as_micros() as u64);
+                report
+                    .send_delay_us
+                    .saturating_record(sent.saturating_duration_since(due).as_micros() as u64);
                 if let Some(first) = result.first {
-                    report.first.saturating_record(first.as_micros() as u64);
-                    report.whole.saturating_record(total.as_micros() as u64);
+                    report.first_token_us.saturating_record(first.as_micros() as u64);
+                    report.total_us.saturating_record(total.as_micros() as u64);
                 }
                 *report.answers.entry(result.answer).or_default() += 1;
             })
@@ -214,9 +216,11 @@
             "{:24}{:>10}{:>10}{:>10}{:>10}{:>10}",
             "milliseconds from due", "p50", "p90", "p99", "p99.9", "max"
         )?;
-        for (name, times) in
-            [("first token", &self.first), ("whole answer", &self.whole), ("sent late by", &self.lag)]
-        {
+        for (name, times) in [
+            ("first token", &self.first_token_us),
+            ("whole answer", &self.total_us),
+            ("sent late by", &self.send_delay_us),
+        ] {
             let at = |part: f64| times.value_at_quantile(part) as f64 / 1e3;
             let figures = [at(0.5), at(0.9), at(0.99), at(0.999), times.max() as f64 / 1e3];
             write!(out, "{name:24}")?;
--- a/crates/rig/src/vary.rs
+++ b/crates/rig/src/vary.rs
@@ -91,18 +91,18 @@
     folder: &Path,
     out: &mut impl Write,
 ) -> io::Result<bool> {
-    let mut good = true;
+    let mut passed = true;
     writeln!(out, "{}", day.about)?;
     for level in &vary.levels {
         let mut day = day.clone();
         put(&mut day.settings, &vary.pointer, level);
         let outcome: Outcome = play(&day, program, folder)?;
-        good &= outcome.good();
+        passed &= outcome.passed();
         writeln!(
             out,
             "\n{} = {level}{}",
             vary.pointer,
-            if outcome.good() { "" } else { ": A RULE OR A CHECK FAILED" }
+            if outcome.passed() { "" } else { ": A RULE OR A CHECK FAILED" }
         )?;
         writeln!(
             out,
@@ -134,7 +134,7 @@
             )?;
         }
     }
-    Ok(good)
+    Ok(passed)
 }
 
 #[cfg(test)]
--- a/crates/rig/tests/losses.rs
+++ b/crates/rig/tests/losses.rs
@@ -147,7 +147,7 @@
         // zone in time.
         let least_referenced = if lost < 4 { 0.9 } else { 0.6 };
         assert!(whole_of(&referenced) as f64 >= least_referenced * referenced.len() as f64, "{lost} lost");
-        let repeats = check_effects(&fleet.log.lines(), &fleet);
+        let repeats = check_effects(&fleet.log.events(), &fleet);
         assert!(lost == 0 || repeats >= 5 * lost, "{repeats} repeats: nothing was tried");
         let metrics = dispatcher.metrics();
         let counted = |name: &str| -> usize {
--- a/crates/rig/tests/paths.rs
+++ b/crates/rig/tests/paths.rs
@@ -174,7 +174,7 @@
                 } else {
                     assert_eq!(response.should_retry, Some(should), "{tag}");
                 }
-                let lines = fleet.log.lines();
+                let lines = fleet.log.events();
                 let ran =
                     events_of(&lines, &tag).into_iter().filter(|what| **what == HostEventKind::Ran).count();
                 // A replayable task is resumed at another writer, up to the limit of attempts.
@@ -232,7 +232,7 @@
                     response.events.iter().filter(|e| e.name == "message_start").count(),
                     usize::from(stream)
                 );
-                let lines = fleet.log.lines();
+                let lines = fleet.log.events();
                 survived += usize::from(
                     events_of(&lines, &tag).into_iter().filter(|w| **w == HostEventKind::Ran).count() > 1,
                 );
@@ -341,11 +341,11 @@
         if wanted == Answer::BrokenOff {
             assert_eq!(requests.load(Ordering::SeqCst), 1, "{what} {offering}: asked once");
         }
-        let lines = fleet.log.lines();
+        let lines = fleet.log.events();
         let ran = count(&lines, &HostEventKind::Ran);
         assert_eq!(ran, usize::from(wanted == Answer::Delivered), "{what} {offering}");
         wait_for("states are taken or let go", || {
-            let lines = fleet.log.lines();
+            let lines = fleet.log.events();
             let made = lines.iter().filter(|l| matches!(l.kind, HostEventKind::StateMade(_))).count();
             let gone = lines
                 .iter()
@@ -503,10 +503,12 @@
         let response = send_to(&dispatcher, request("chat-reply", &tag), options);
         assert_eq!(response.answer, Answer::Left);
         wait_for("the read's end", || {
-            events_of(&fleet.log.lines(), &tag).iter().any(|what| matches!(what, HostEventKind::Ended { .. }))
+            events_of(&fleet.log.events(), &tag)
+                .iter()
+                .any(|what| matches!(what, HostEventKind::Ended { .. }))
         });
         thread::sleep(ms(1000));
-        let lines = fleet.log.lines();
+        let lines = fleet.log.events();
         let seen = events_of(&lines, &tag);
         let made = seen.iter().filter(|what| matches!(what, HostEventKind::StateMade(_))).count();
         let gone = seen.iter().filter(|what| matches!(what, HostEventKind::StateReleased(_))).count();
@@ -542,7 +544,7 @@
 
     wait_for("the stuck task's end", || answer_counts(&dispatcher.metrics()).get("client left") == Some(&1));
     wait_for("the writer's end", || {
-        events_of(&fleet.log.lines(), "stuck")
+        events_of(&fleet.log.events(), "stuck")
             .iter()
             .filter(|what| matches!(what, HostEventKind::Ended { .. }))
             .count()
@@ -731,7 +733,7 @@
     );
     let taken: u64 = counted.values().sum();
     assert!(taken <= TASKS as u64 && taken + left >= TASKS as u64, "{taken} taken of {TASKS}");
-    let lines = fleet.log.lines();
+    let lines = fleet.log.events();
     for task in (2..TASKS).step_by(3) {
         let tag = format!("{task}.0");
         let ran = lines.iter().filter(|line| line.tag == tag && line.kind == HostEventKind::Ran).count();
@@ -770,7 +772,7 @@
             assert_eq!(response.answer, Answer::Delivered, "{tag}");
             assert_eq!(response.text, full_answer(&api_request, 12), "{tag}");
             assert_eq!(response.usage[2], response.text.len().div_ceil(2) as u64, "{tag}");
-            let ran = events_of(&fleet.log.lines(), &tag)
+            let ran = events_of(&fleet.log.events(), &tag)
                 .into_iter()
                 .filter(|what| ANSWER_STARTED.contains(what))
                 .count();
@@ -814,7 +816,7 @@
         };
         let mut first_writer = None;
         wait_for("a writer", || {
-            let lines = fleet.log.lines();
+            let lines = fleet.log.events();
             first_writer = lines
                 .iter()
                 .find(|line| line.tag == what && ANSWER_STARTED.contains(&line.kind))
@@ -846,7 +848,7 @@
         let response = client.join().expect("a client");
         assert_eq!((&response.answer, response.trailing_bytes), (&Answer::Delivered, 0), "{what}");
         assert_eq!((response.text, response.usage[2]), (full_answer(&api_request, 30), 30), "{what}");
-        let lines = fleet.log.lines();
+        let lines = fleet.log.events();
         let ran: Vec<&str> = lines
             .iter()
             .filter(|line| line.tag == what && ANSWER_STARTED.contains(&line.kind))
@@ -906,7 +908,7 @@
     dispatcher.apply_host_list(&HostList { version: 2, whole: false, ..fleet.list() });
     let response = client.join().expect("a client");
     assert_eq!((response.answer, response.text), (Answer::Delivered, "a".repeat(17)));
-    assert!(events_of(&fleet.log.lines(), "last").is_empty(), "another was asked");
+    assert!(events_of(&fleet.log.events(), "last").is_empty(), "another was asked");
 }
 
 /// Half of the writers lose each answer at its fifth token: the prompt tokens that are read again stay within the budget
@@ -998,7 +1000,7 @@
     let first = send_to(&dispatcher, api_request("a", "1"), ClientOptions::default());
     assert_eq!((first.answer, first.usage[1]), (Answer::Delivered, 0));
     let reader = |tag: &str| {
-        let lines = fleet.log.lines();
+        let lines = fleet.log.events();
         lines
             .iter()
             .find(|line| line.tag == tag && line.kind == HostEventKind::Read)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -163,14 +163,14 @@
 /// The events of all hosts of one process, in order.
 pub struct EventLog {
     start: Instant,
-    lines: Mutex<Vec<HostEvent>>,
+    events: Mutex<Vec<HostEvent>>,
     /// When each reference ran, by the group that remembers it.
     references_run: Mutex<BTreeMap<(String, String), Instant>>,
 }
 
 impl Default for EventLog {
     fn default() -> Self {
-        EventLog { start: Instant::now(), lines: Mutex::default(), references_run: Mutex::default() }
+        EventLog { start: Instant::now(), events: Mutex::default(), references_run: Mutex::default() }
     }
 }
 
@@ -180,8 +180,8 @@
         self.start.elapsed().as_micros() as u64
     }
 
-    pub fn lines(&self) -> Vec<HostEvent> {
-        self.lines.lock().map(|lines| lines.clone()).unwrap_or_default()
+    pub fn events(&self) -> Vec<HostEvent> {
+        self.events.lock().map(|events| events.clone()).unwrap_or_default()
     }
 
     /// Whether a group has run this reference within the given time. If not, records that it runs now.
@@ -197,9 +197,9 @@
     }
 
     fn record(&self, host: &str, tag: &str, dispatcher: &str, kind: HostEventKind) {
-        if let Ok(mut lines) = self.lines.lock() {
+        if let Ok(mut events) = self.events.lock() {
             let (host, tag, dispatcher) = (host.to_owned(), tag.to_owned(), dispatcher.to_owned());
-            lines.push(HostEvent { at: self.now(), host, tag, dispatcher, kind });
+            events.push(HostEvent { at: self.now(), host, tag, dispatcher, kind });
         }
     }
 }
