--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -111,7 +111,7 @@
         requests.into_iter().map(|request| request.join().expect("no panic")).collect();
     assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 ")), "{answers:?}");
     let log = process.log();
-    assert!(log.contains("for want of something of the own machine"), "the descriptors were never exhausted");
+    assert!(log.contains("local resources exhausted"), "the descriptors were never exhausted");
     assert!(!log.contains("suspected"), "{log}");
     script.lock().expect("no panic").clear();
     let answer = exchange(address, &request_text("after", "Connection: close\r\n"));
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -142,7 +142,7 @@
             if time_left(retry_until).is_zero() {
                 return Err(Fault::LocalMachine);
             }
-            tracing::debug!(host = endpoint.name, "no connection for want of something of the own machine");
+            tracing::debug!(host = endpoint.name, "no connection: local resources exhausted, retrying");
             tulipstall_net::sleep(LOCAL_RETRY_DELAY);
             if time_left(until).is_zero() {
                 return Err(Fault::LocalMachine);
