--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -385,8 +385,8 @@
     }
 
     /// As [`Link::read_until`], with a deadline that may be brought forward during the wait. To do so, change the state that
-    /// `deadline` reads and then call [`Link::shorten_read_deadline`]. `deadline` is evaluated again once it has been set, so that
-    /// a change at that very moment is not missed.
+    /// `deadline` reads and then call [`Link::shorten_read_deadline`]. `deadline` is evaluated again once it has been set,
+    /// so that a change at that very moment is not missed.
     pub fn read_with_moving_deadline(
         &self,
         into: &mut [u8],
@@ -619,7 +619,8 @@
         self.body_with_moving_deadline(out, &|| until)
     }
 
-    /// As [`Reply::body`], with a deadline that may be brought forward during the wait, see [`Link::read_with_moving_deadline`].
+    /// As [`Reply::body`], with a deadline that may be brought forward during the wait, see
+    /// [`Link::read_with_moving_deadline`].
     pub fn body_with_moving_deadline(
         &mut self,
         out: &mut Vec<u8>,
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -72,8 +72,8 @@
     }
 }
 
-/// A deadline that is brought forward after `read_with_moving_deadline` has evaluated it and before it is set. Without the second
-/// evaluation the read would wait for the old deadline.
+/// A deadline that is brought forward after `read_with_moving_deadline` has evaluated it and before it is set. Without the
+/// second evaluation the read would wait for the old deadline.
 #[test]
 fn a_deadline_brought_forward_while_it_is_set_holds() {
     let (link, _there) = connected_link();
--- a/crates/prefix/tests/follow.rs
+++ b/crates/prefix/tests/follow.rs
@@ -52,7 +52,8 @@
     ];
     for (what, batches, expected, request, invalidated) in cases {
         let (mut follower, mut out, mut last) = (Follower::default(), Vec::new(), Request::Nothing);
-        // A new follower takes the incarnation that it is first given as the engine's; only a later, different one is a restart.
+        // A new follower takes the incarnation that it is first given as the engine's; only a later, different one is a
+        // restart.
         for (number, incarnation) in batches {
             last = follower.receive(batch(*number, *incarnation), &mut out);
         }
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -119,8 +119,8 @@
     }
 
     /// Whether the stream should move, given that the answer has `tokens` tokens by now. Evaluated once every
-    /// `PACE_WINDOW_TOKENS` tokens, `None` in between. `max_tokens` is the maximum length of the answer, `agreed` the agreed
-    /// time per token, and `host_remaining` how long a draining host still runs.
+    /// `PACE_WINDOW_TOKENS` tokens, `None` in between. `max_tokens` is the maximum length of the answer, `agreed` the
+    /// agreed time per token, and `host_remaining` how long a draining host still runs.
     pub fn check(
         &mut self,
         now: Duration,
