--- a/src/names.rs
+++ b/src/names.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Notes that a host has departed. Its slot may be reused later.
+    /// Records that a host has departed. Its slot may be reused later.
     pub fn set_departed(&mut self, index: u32) {
         if let Some((_, departures, departed)) = self.slots.get_mut(index as usize)
             && !std::mem::replace(departed, true)
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Notes that every host missing from a complete host list has departed.
+    /// Records that every host missing from a complete host list has departed.
     pub fn retain_listed(&mut self, listed: &[ListedHost]) {
         let present: FxHashSet<u32> = listed.iter().map(|line| line.host).collect();
         for index in (0..self.slots.len() as u32).filter(|index| !present.contains(index)) {
@@ -275,7 +275,7 @@
     #[test]
     fn slots_of_replaced_hosts_are_reused() {
         let line = |status| ListedHost { status, ..ListedHost::default() };
-        for whole in [false, true] {
+        for complete in [false, true] {
             let mut registry = NameRegistry::default();
             let mut present: VecDeque<(String, u32)> = VecDeque::new();
             let mut departed: Vec<u32> = Vec::new();
@@ -294,7 +294,7 @@
                 present.push_back((name, host));
                 if present.len() > 10 {
                     let (name, host) = present.pop_front().expect("ten hosts");
-                    if whole {
+                    if complete {
                         let listed: Vec<ListedHost> = present
                             .iter()
                             .map(|(_, host)| ListedHost { host: *host, ..ListedHost::default() })
--- a/src/release.rs
+++ b/src/release.rs
@@ -16,7 +16,7 @@
 
 /// The same while an attempt is in flight that has not been answered. As it may still be answered, the
 /// release begins as late as possible: even a dispatcher that is held up for 150 ms can still complete it
-/// within the operators' slack.
+/// within the tolerance that operators allow beyond the hold limit.
 const RELEASE_UNANSWERED_AT_SHARE: f64 = 0.85;
 
 /// The share of the hold limit after which a writer that is silent while its peers answer is given up for
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -54,8 +54,8 @@
     /// Latest time at which the first byte of a shot may go out, as its connection may take long to come up:
     /// inside the windows of all earlier shots that may have run.
     fn send_by(&self, task: &Task, deadline: Duration) -> Duration {
-        let binding = task.shots_that_may_have_run().filter(|_| self.effect == "referenced");
-        binding.map(|shot| shot.sent_at + self.repeat_window).fold(deadline, Duration::min)
+        let earlier_shots = task.shots_that_may_have_run().filter(|_| self.effect == "referenced");
+        earlier_shots.map(|shot| shot.sent_at + self.repeat_window).fold(deadline, Duration::min)
     }
 }
 
@@ -219,7 +219,7 @@
                     offering_terms.agreed_seconds + offering_terms.agreed_seconds_per_token * prompt,
                 ),
             wait_until: now + Duration::from_secs_f64(offering_terms.agreed_seconds / 2.0),
-            // 4 ms, a tick or two, inside the client's own time limit.
+            // 4 ms, a scheduler tick or two, before the client's own time limit.
             deadline: now + order.time_left.saturating_sub(Duration::from_millis(4)),
             output_tokens: match order.expected_duration {
                 Some(hint) => (hint.as_secs_f64() / offering_terms.output_seconds_per_token)
@@ -294,8 +294,8 @@
         }
         let (shot, order, agreed_seconds) = (*shot, task.order, self.offerings[task.offering].agreed_seconds);
         let (session_home, ended) = (task.session_home, task.ended);
-        let limit_passed = now >= shot.sent_at + task.silence_limit;
-        if closed.outcome == Outcome::TimedOut && !limit_passed {
+        let silence_limit_passed = now >= shot.sent_at + task.silence_limit;
+        if closed.outcome == Outcome::TimedOut && !silence_limit_passed {
             self.raise_safety_factor();
         }
         let recent_since = now.saturating_sub(Duration::from_secs_f64(agreed_seconds));
@@ -309,16 +309,16 @@
         if host.shots_in_flight == 0 {
             (host.pending_read_tokens, host.pending_stream_tokens) = (0.0, 0.0);
         }
-        // The slot has a new owner, which must not be blamed for shots of the one that left. Holds against
-        // fleets that are replaced at once under new names while shots are in flight.
+        // The slot has a new owner. Without this, a host of a fleet that is replaced at once under new names
+        // would be blamed for shots that were in flight at the host before it.
         if host.listed.name_hash != shot.listed.name_hash {
             return t;
         }
         // A host that rejects a shot although it looks mostly free (own counts, multiplied by the number of
-        // dispatchers) while a peer answers does not reject it for its load. Holds against hosts that drain
+        // dispatchers) while a peer answers does not reject it for its load. Guards against hosts that drain
         // unannounced or are throttled: without this their rejections count as an overload of the whole role,
-        // and tasks that others could read are bounced. The cost: the task may leave too early a host that
-        // other dispatchers fill.
+        // and tasks that other hosts could read are rejected. The cost: the task may leave too early a host
+        // that other dispatchers fill.
         let dispatchers = self.dispatchers;
         let is_free = if shot.phase == Phase::Write {
             host.pending_stream_tokens * dispatchers < 0.5 * host.listed.memory_tokens.unwrap_or(0.0)
@@ -332,8 +332,9 @@
         let blame = match closed.outcome {
             Outcome::Error | Outcome::Spoilt => 0.35,
             Outcome::Full if refuses_though_free => 0.35,
-            // A time-out because the client left little time tells nothing about the host.
-            Outcome::TimedOut if limit_passed => 0.5,
+            // A time-out before the silence limit, because the client left little time, tells nothing about
+            // the host.
+            Outcome::TimedOut if silence_limit_passed => 0.5,
             Outcome::Cancelled if shot.cancelled && !ended => 0.5,
             Outcome::Broken | Outcome::NoConnection => 0.6,
             _ => 0.0,
@@ -394,8 +395,8 @@
     }
 
     /// Raises the safety factor by a tenth for each shot that ran out of its client's time and for each
-    /// client that left before the agreed time; each answer lowers it by a hundredth. Holds against impatient
-    /// clients and those that repeat a request at once.
+    /// client that left before the agreed time; each answer lowers it by a hundredth. Guards against clients
+    /// that leave early and those that repeat a request at once.
     fn raise_safety_factor(&mut self) {
         self.safety_factor = (self.safety_factor * 1.1).min(4.0);
     }
@@ -439,7 +440,7 @@
     }
 
     /// Prompt tokens that a host would have to read. Cached tokens are deducted as far as recent reads at
-    /// this host confirmed the estimates. Holds against cache flushes and evictions under memory pressure.
+    /// this host confirmed the estimates. Guards against cache flushes and evictions under memory pressure.
     fn uncached_tokens(&self, t: usize, h: u32) -> f64 {
         let cached = self.estimated_cached_tokens(t, h);
         // Reported tokens are already weighted by what reads confirmed.
@@ -539,9 +540,9 @@
     ///
     /// The budget fills at the rate at which this dispatcher sends shots to a warm peer, times the share of a
     /// warm host's work that the cold one can do for certain. All dispatchers' budgets thus add up to that
-    /// share of a warm peer's traffic, well below the multiple at which a cold host falls over. A whole shot
-    /// that is not used lapses after half the time in which a host falls over, or after two more tasks are
-    /// due here, if that is later. So there is no burst, and a restarted dispatcher spends nothing twice.
+    /// share of a warm peer's traffic, well below the multiple at which a cold host fails. A whole shot that
+    /// is not used lapses after half the time in which an overload makes a host fail, or after two more tasks
+    /// are due here, if that is later. So there is no burst, and a restarted dispatcher spends nothing twice.
     /// Each dispatcher starts at its own level between zero and one shot: without this, hundreds of them
     /// would all send late and at once.
     fn refill_cold_budget(&mut self, h: u32) -> f64 {
@@ -553,8 +554,8 @@
         let age = 1.0 - (host.warm_at - now).as_secs_f64() / warm_up.max(0.001);
         let (peer_rate, task_rate) = self.role_rates[host.listed.role as usize];
         let cold_from = self.config.number("rules.cold_from").unwrap_or(0.1);
-        // Rises evenly, but never past four fifths of the load that a host which stays cold throughout would
-        // stand.
+        // Rises linearly with age, but never past four fifths of the load at which a host that can do no more
+        // than at its start would fail.
         let share_limit = 0.8 * cold_from * self.config.number("rules.fall_multiple").unwrap_or(1.0);
         let send_share = (cold_from + (1.0 - cold_from) * age.max(0.0)).min(share_limit);
         let host = &mut self.hosts[h as usize];
@@ -570,7 +571,7 @@
 
     /// Shots a second from this dispatcher that a warm host of a role read or began to answer (the last known
     /// rate if none is warm), and tasks a second that arrive here. The first is at most one host's share of
-    /// the tasks among all hosts that do the same step. Holds against fleets that are replaced at once: the
+    /// the tasks among all hosts that do the same step. Guards against fleets that are replaced at once: the
     /// few hosts left running are sent more than they can do, and without this limit new ones would be too.
     fn measure_role_rates(&self, role: Role) -> (f64, f64) {
         let now = self.now;
@@ -603,8 +604,8 @@
             .map(|role| self.measure_role_rates(role));
     }
 
-    /// Recent seconds for each token read at a host, smoothed with two long prompts at its role's speed. If
-    /// the host answers at least twice a minute, that tells an overload from a slow host.
+    /// Recent seconds for each token read at a host, smoothed with two long prompts at its role's speed. For
+    /// a host that answers at least twice a minute, this distinguishes a slow host from an overload.
     fn seconds_per_read_token(&self, h: u32) -> f64 {
         let (host, weight) = (&self.hosts[h as usize], 2.0 * self.long_prompt_tokens);
         let (decay, usual) =
@@ -739,9 +740,9 @@
     fn pick_reader(&mut self, t: usize) -> Option<u32> {
         let fewest = self.update_pending_counts(t, Phase::Read);
         // A cold reader that may be sent to goes first: its shot would lapse, and where hundreds of
-        // dispatchers see few tasks each, no count shows that it is free. Holds against fleets that are
-        // replaced at once: without this their few warm hosts are overloaded beside cold ones that nobody
-        // picks.
+        // dispatchers see few tasks each, no count shows that it is free. Guards against fleets that are
+        // replaced at once: without this their few warm hosts are overloaded beside cold ones that no
+        // dispatcher picks.
         let candidates =
             (0..).zip(&self.pending_counts).map(|(h, count)| (h, *count, &self.hosts[h as usize]));
         let cold = candidates.filter(|(_, count, host)| {
@@ -803,17 +804,18 @@
         }
     }
 
+    /// Pending tokens by which a writer may exceed the lowest count and still tie with it.
     fn tie_margin(&self, t: usize) -> f64 {
         let task = &self.tasks[t];
-        // Four times the task's own tokens: with one, three fifths of the tokens left their cell; with eight,
-        // near writers filled up.
+        // Four times the task's own tokens: with a factor of one, three fifths of the tokens left their cell;
+        // with eight, near writers filled up.
         4.0 * (f64::from(task.order.prompt_tokens) + task.output_tokens)
     }
 
     /// The writer with the fewest pending tokens. Among those within the tie margin, a difference that a few
     /// picks make, writers of the reader's cell come first, as far as they can take what its readers read.
-    /// Then cells with spare writers, at random in proportion to what they can take, those of the own zone
-    /// rather.
+    /// Then cells with spare writers, at random in proportion to what they can take, with a preference for
+    /// the reader's zone.
     fn pick_writer(&mut self, t: usize, phase: Phase) -> Option<u32> {
         let (fewest, margin) = (self.update_pending_counts(t, phase), self.tie_margin(t));
         let source = self.tasks[t].held.reader().map(|h| self.hosts[h as usize]);
@@ -837,7 +839,8 @@
         // The least of -ln(random) / weight falls on each host in proportion to its weight.
         let ranked = ties.map(|(h, _): (u32, _)| {
             let host = &self.hosts[h as usize];
-            // Eight: a zone short of writers still sends some states to others, one with enough writers few.
+            // Eight times the weight inside the zone: a zone short of writers still sends some states to
+            // others, one with enough writers sends few.
             let same_zone = source.is_none_or(|source| source.listed.zone == host.listed.zone);
             let weight = if !leaves_cell {
                 1.0
@@ -858,9 +861,9 @@
     }
 
     /// Whether a read begun now would lead to a first token within the agreed time, and waits no longer than
-    /// half the agreed time of the offering with the highest gain, scaled by this one's relative gain. Holds
+    /// half the agreed time of the offering with the highest gain, scaled by this one's relative gain. Guards
     /// against overload: with longer queues sessions leave readers that have cached them. The cost: some
-    /// tasks are bounced that would have been in time.
+    /// tasks are rejected that would have been in time.
     fn read_in_time(&self, t: usize, h: u32) -> bool {
         let (now, task, host) = (self.now, &self.tasks[t], &self.hosts[h as usize]);
         let seconds_left = task.target_at.min(task.deadline).saturating_sub(now).as_secs_f64();
@@ -869,8 +872,8 @@
             0.5 * best_offering.agreed_seconds * self.offerings[task.offering].relative_gain
         });
         // Old, bad figures must not block all reads for good: one task in twelve is sent as a trial. One at a
-        // time, as the trials of hundreds of dispatchers would keep an overload going, and not for impatient
-        // clients, for whom the trial would end too late.
+        // time, as the trials of hundreds of dispatchers would keep an overload going, and not for clients
+        // with little time left, for whom the trial would end too late.
         let trial = self.tasks_since_read >= 12
             && seconds_left > 0.5 * self.offerings[task.offering].agreed_seconds
             && self.running_hosts(host.listed.role).all(|(_, peer)| peer.pending_read_tokens <= 0.0);
@@ -882,12 +885,12 @@
                     < seconds_left)
     }
 
-    /// Whether the writers have memory for one more task; if not, it is bounced before its prompt is read. Up
-    /// to a quarter more than full for the offering with the highest gain.
+    /// Whether the writers have memory for one more task; if not, it is rejected before its prompt is read.
+    /// Up to a quarter more than full for the offering with the highest gain.
     ///
     /// Own streams stand for those of all dispatchers, unless the hosts report more. They are ignored if one
     /// stream multiplied by the number of dispatchers would exceed a writer's memory: among hundreds of
-    /// dispatchers, one with a few streams more than others would bounce tasks that the writers have room
+    /// dispatchers, one with a few streams more than others would reject tasks that the writers have room
     /// for. There, late first tokens show the overload (`read_in_time`).
     fn has_writer_capacity(&self, t: usize) -> bool {
         let writers = self.running_hosts(Role::Writer).chain(self.running_hosts(Role::Mixed));
@@ -952,7 +955,7 @@
         let any_unanswered = task.desired.shot.is_some() || task.shots.iter().any(|shot| shot.in_flight);
         let Some(at) = task.held.release_at(hold_limit, any_unanswered) else { return };
         // A state that waits for a writer is released when its task is given up. What may be left elsewhere
-        // does not hold the task up.
+        // does not delay the task.
         let ends_with_request = task.held.reader().is_some() || task.ended;
         if !any_unanswered && ends_with_request {
             return;
@@ -970,7 +973,7 @@
         let Some(task) = self.tasks.get_mut(t).filter(|task| task.live) else { return };
         task.desired = DesiredState::default();
         if task.ended {
-            // The client has left: what still waits or is being read for it delays others. Holds against
+            // The client has left: what still waits or is being read for it delays others. Guards against
             // clients that leave before their time and repeat the request at once.
             let may_cancel = |shot: &Shot| shot.awaits_answer() && !shot.cancelled;
             task.desired.cancel = task.shots.iter().position(may_cancel).filter(|_| cancel);
@@ -1036,10 +1039,10 @@
     /// Decides whether a shot in flight is cancelled. Hosts answer in the order of arrival, so waiting at a
     /// host that still works is no worse than starting again elsewhere. A shot is cancelled if its host is
     /// gone from the list, has answered shots that were sent clearly later, or has been silent three times as
-    /// long while peers answered (a sound reader may be silent for another's long prompt). Holds against
-    /// hosts that hang, are cut off or die, and those that fail for one part of their work or one offering
-    /// only. The cost: it may cancel too early where a role sees little traffic or a host does not keep to
-    /// the order.
+    /// long while peers answered (a sound reader may be silent while it reads another task's long prompt).
+    /// Guards against hosts that hang, are cut off or die, and those that fail for one part of their work or
+    /// one offering only. The cost: it may cancel too early where a role sees little traffic or a host does
+    /// not answer in the order of arrival.
     fn watch_shot(&mut self, t: usize, i: usize) {
         let (now, task) = (self.now, &self.tasks[t]);
         let (shot, silence_limit, deadline) = (task.shots[i], task.silence_limit, task.deadline);
@@ -1076,8 +1079,8 @@
         desired.wake_at = Some(next_check).filter(|at| *at < deadline && desired.cancel.is_none());
     }
 
-    /// Ends the task: rejects it at once with retry advice, or aborts it. A bounce tells the client that a
-    /// repeat is harmless, so it is sent only if the effect rules agree. A continued answer is repeated by
+    /// Ends the task: rejects it at once with retry advice, or aborts it. The advice tells the client that a
+    /// repeat is harmless, so it is given only if the effect rules agree. A continued answer is repeated by
     /// its client together with its earlier shot, which is harmless while that shot may be followed by
     /// another.
     fn give_up(&mut self, t: usize) {
--- a/src/state.rs
+++ b/src/state.rs
@@ -171,7 +171,9 @@
     /// When its answer began.
     pub(crate) started_at: Option<Duration>,
     pub(crate) cancelled: bool,
+    /// It ended, and neither completed its read nor delivered the answer.
     pub(crate) failed: bool,
+    /// It ended, and may have had its effect: it is not a read, and its outcome does not rule that out.
     pub(crate) may_have_run: bool,
 }
 
@@ -182,19 +184,20 @@
     pub(crate) shot: Option<(u32, Phase, Duration)>,
     /// The number of the shot to cancel.
     pub(crate) cancel: Option<usize>,
-    /// The task ends: with a bounce (true), or it is aborted (false).
+    /// The task ends: it is rejected with retry advice (true) or aborted (false).
     pub(crate) end_with_bounce: Option<bool>,
     /// A known state is kept, as a writer may still fetch it.
     pub(crate) keep_held: bool,
     /// The time to hold states is over.
     pub(crate) release_due: bool,
-    /// When to look at the task again.
+    /// When to plan the task again.
     pub(crate) wake_at: Option<Duration>,
 }
 
 /// One request of a client, from its order until nothing more is done for it.
 #[derive(Default)]
 pub(crate) struct Task {
+    /// False once nothing more is done for the task; the index may then get a new owner.
     pub(crate) live: bool,
     /// Counts the owners of this index, so that timers of an earlier one are ignored.
     pub(crate) generation: u32,
@@ -218,6 +221,7 @@
     pub(crate) reported_cached: Option<Vec<(u32, u32)>>,
     /// How long the latest shot may stay unanswered before its host is checked for silence.
     pub(crate) silence_limit: Duration,
+    /// It has its final answer, or its client has left; shots may still be in flight.
     pub(crate) ended: bool,
     pub(crate) held: HeldState,
     /// Until when the task may wait for a host that may be sent to.
@@ -252,6 +256,7 @@
     }
 }
 
+/// The entry of a key, unless its slot has a new owner.
 pub(crate) fn find_cached(table: &[CachedText], key: Option<CacheKey>) -> Option<&CachedText> {
     table.get(key?.slot as usize).filter(|cached| Some(cached.generation) == key.map(|key| key.generation))
 }
@@ -286,6 +291,7 @@
     ranked.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|(.., h)| h)
 }
 
+/// The entry of a key, created or cleared if its slot has a new owner.
 fn entry_of(table: &mut Vec<CachedText>, key: CacheKey) -> &mut CachedText {
     if table.len() <= key.slot as usize {
         table.resize(key.slot as usize + 1, CachedText::default());
@@ -309,6 +315,7 @@
     cached.recent_tasks.level
 }
 
+/// Records that a host has read a text and has it cached, in place of its earlier record or the oldest one.
 pub(crate) fn record_cached(
     table: &mut Vec<CachedText>,
     key: Option<CacheKey>,
@@ -337,7 +344,7 @@
     }
 }
 
-/// All that one dispatcher knows. What it does with it is in [`crate::rules`].
+/// The decision logic of one dispatcher, with all its state. The decisions are in [`crate::rules`].
 #[derive(Default)]
 pub struct Rules {
     pub(crate) now: Duration,
@@ -350,6 +357,8 @@
     pub(crate) offerings: Vec<Offering>,
     /// How many dispatchers share the hosts.
     pub(crate) dispatchers: f64,
+    /// Index of the dispatcher's own zone: `zone_index`, whose -1 for no zone becomes 0. `u32::MAX` without
+    /// `zone_index`.
     pub(crate) own_zone: u32,
     pub(crate) hosts: Vec<Host>,
     pub(crate) tasks: Vec<Task>,
