--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -26,7 +26,7 @@
     processes: u64,
     /// Tasks a second for each host of the step, from all processes together.
     rate: f64,
-    /// Each process sees this multiple of the next one's tasks, in rows of eight.
+    /// Within each group of eight, a process sees this multiple of the tasks of the one before it.
     skew: f64,
     /// Seven in ten processes restart half a second after the host.
     restart: bool,
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -72,9 +72,9 @@
     }
 }
 
-/// Nor does one for a client that has left, if attempts may not be cancelled.
+/// If attempts may not be cancelled, one for a client that has left does not extend it either.
 #[test]
-fn an_attempt_for_a_client_that_left_does_not_delay_it_either() {
+fn an_attempt_for_a_client_that_left_does_not_delay_the_release_of_a_state() {
     let mut harness = served_harness(&[("allowed.cancel", "false")]);
     read_and_send(&mut harness);
     harness.on_event(START_MS + 100, Event::ClientGone { task: REQUEST });
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -160,8 +160,8 @@
             assert_eq!(sent_host(&harness.close_shot(4010, 9, 0, Read)), Some(3));
         }
         if let Some(reader) = reader.filter(|_| group == "cell" && effect == "referenced") {
-            // The writer has to be of the group too. Without one, the task is bounced while the window lasts,
-            // and aborted after it.
+            // The writer has to be of the group too. Without one, the task is rejected with retry advice while
+            // the window lasts, and aborted after it.
             assert_eq!(reader, 0);
             assert_eq!(sent_host(&harness.close_shot(4010, 9, 0, Read)), Some(2));
             harness.list_host(4020, 2, HostStatus::Draining, None);
@@ -603,7 +603,7 @@
     ] {
         assert_eq!(action_letters(&actions), "");
     }
-    // An empty list, or hosts of one role only: the task is bounced before its own time is up.
+    // Hosts of one role only: the task is rejected with retry advice before its own time is up.
     let mut harness = Harness::new(&[], &[(WRITER, 0)]);
     let mut actions = harness.send_order(0, 1, 1, 1000);
     for at in (10..4000).step_by(10) {
@@ -982,7 +982,7 @@
 fn hundreds_of_dispatchers_neither_starve_nor_overload_a_restarted_rack() {
     // Number of readers and those of them that restart at once; a hundred dispatchers that see one task a
     // second each. The least shots that each restarted reader gets in five seconds, and the most in 1.5 s: a
-    // warm one of three gets 33 a second, and the cold one stands 2.5 times 0.3 of what it can do for 1.5 s.
+    // warm one of three gets 33 a second, and the cold one withstands 2.5 times 0.3 of that for 1.5 s.
     // With a dozen readers, own counts do not tell cold from warm ones.
     for (readers, cold, least, bound) in
         [(3, &[0u32][..], 55, 37), (3, &[0, 1], 55, 37), (12, &[0, 5], 12, 9)]
@@ -1022,7 +1022,7 @@
     // All hosts of a step drain and one cold host is all that comes at first, of a role that was there before
     // or of another; or one warm host is left, which answers one in twelve of the shots that it is sent. The
     // most that the cold one may be sent in 1.5 s: of a dozen a warm one did 8 a second, of four 25, and it
-    // stands 2.5 times 0.3 of that for so long, 9 or 28; half as many more by chance.
+    // withstands 2.5 times 0.3 of that for so long, 9 or 28; half as many more by chance.
     for (new, others, left, most) in [
         (MIXED, MIXED, false, 14),
         (WRITER, MIXED, false, 14),
@@ -1111,7 +1111,7 @@
 #[test]
 fn a_free_host_that_rejects_does_not_count_as_overload() {
     // How many of three readers reject everything while the others answer; every fourth prompt is a long one.
-    // Nothing is bounced because of it.
+    // No task is rejected because of it.
     for refusing in [1, 2] {
         let mut harness = Harness::new(&[], &[(READER, 0), (READER, 0), (READER, 0), (WRITER, 0)]);
         for i in 0..20 {
