--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -149,8 +149,8 @@
     /// Release a state at its reader.
     Release {
         held: HeldState,
-        /// The reader reported the state. Otherwise it is only possible that the state exists, and it may still be created
-        /// later if the reader cannot be reached.
+        /// This release is enough: the reader reported the state, or the state is released again when the task ends.
+        /// Otherwise the state may not exist, and may still be created later if the reader cannot be reached.
         confirmed: bool,
         reason: ReleaseReason,
     },
@@ -192,7 +192,7 @@
     /// The shot whose answer the client gets.
     answering_shot: Option<u32>,
     shots: Vec<Shot>,
-    /// The last shot that both prefills and answers.
+    /// The last shot of kind [`ShotKind::ReadAndWrite`].
     last_combined_shot: Option<u32>,
     /// The prompt as a chain of hashed blocks.
     chain: Arc<[u64]>,
@@ -273,7 +273,7 @@
     pub forgot: u64,
 }
 
-/// The source of estimates which host has which prompt prefix cached.
+/// The source of estimates of which host has which prompt prefix cached.
 pub enum PrefixSource {
     /// The decisions' own table of sessions and shared texts.
     Table,
--- a/crates/core/tests/life.rs
+++ b/crates/core/tests/life.rs
@@ -109,7 +109,7 @@
 /// The hosts named by [`Output::FirstPossibleRun`].
 fn possible_run_hosts(out: &[Output]) -> Vec<u32> {
     out.iter()
-        .filter_map(|o| if let Output::FirstPossibleRun { run: ran, .. } = o { Some(ran.host) } else { None })
+        .filter_map(|o| if let Output::FirstPossibleRun { run, .. } = o { Some(run.host) } else { None })
         .collect()
 }
 
@@ -207,7 +207,7 @@
 fn unconfirmed_states_of_reads_are_released() {
     let released = |out: &[Output]| -> Vec<(String, bool)> {
         let name = |o: &Output| match o {
-            Output::Release { held, confirmed: sure, .. } => Some((held.state.clone(), *sure)),
+            Output::Release { held, confirmed, .. } => Some((held.state.clone(), *confirmed)),
             _ => None,
         };
         out.iter().filter_map(name).collect()
