--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -15,7 +15,8 @@
 /// answers are unlikely to agree in all of them, few enough to cost nothing.
 const OVERLAP_TOKENS: u32 = 4;
 
-/// Losses after which one answer is still resumed: where four writers are lost during one answer, a fifth will not help.
+/// Maximum number of losses after which an answer is still resumed: where four writers are lost during one answer,
+/// a fifth will not help.
 const MAX_LOSSES: u32 = 4;
 
 /// Consecutive tokens that may leave a character incomplete or carry no bytes. A character has at most four bytes, and
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -113,9 +113,9 @@
 }
 
 impl StreamPace {
-    /// Starts measuring a writer. The answer's first token came at `first`, and it has `had` tokens from earlier writers.
-    pub fn new(first: Duration, now: Duration, had: u32) -> Self {
-        StreamPace { first_token_at: first, window_start: now, window_start_tokens: had }
+    /// Starts measuring a writer of an answer that has `tokens` tokens so far.
+    pub fn new(first_token_at: Duration, now: Duration, tokens: u32) -> Self {
+        StreamPace { first_token_at, window_start: now, window_start_tokens: tokens }
     }
 
     /// Whether the stream should move, given that the answer has `tokens` tokens by now. Evaluated once every
--- a/crates/recovery/src/silence.rs
+++ b/crates/recovery/src/silence.rs
@@ -15,7 +15,7 @@
 /// Lower bound of the time-out: a writer whose process is suspended for a quarter of a second is not lost.
 const MIN_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Lower bound of the time-out in agreed times per token: a client tolerates so long without new text.
+/// Lower bound of the time-out as a multiple of the agreed time per token: a client tolerates such a pause.
 const MIN_TOKEN_TIMES: u32 = 8;
 
 /// Completed answers needed before the time-out is derived from them.
--- a/crates/recovery/tests/budget.rs
+++ b/crates/recovery/tests/budget.rs
@@ -19,26 +19,29 @@
         [(2000, 0, 0.25), (2000, 40_000, 0.25), (50, 0, 0.25), (5000, 400_000, 0.1)];
     for (lost, delivered, share) in cases {
         let mut budget = Budget::new(100_000, share);
-        let (mut read, mut waiting, mut asked) = (0.0, lost, 0);
+        let (mut reread_tokens, mut waiting, mut asked) = (0.0, lost, 0);
         for step in 0..200 {
             let now = ms(step * 20);
             budget.refill(now, delivered / 200);
-            let mut refused = 0;
+            let mut still_waiting = 0;
             for i in 0..waiting {
                 asked += 1;
                 match budget.request(now, recovery_request(800, i % 100)) {
-                    Verdict::Granted => read += 800.0,
-                    Verdict::Wait(_) => refused += 1,
+                    Verdict::Granted => reread_tokens += 800.0,
+                    Verdict::Wait(_) => still_waiting += 1,
                     Verdict::GiveUp => {}
                 }
             }
-            waiting = refused;
+            waiting = still_waiting;
         }
         let allowed = 100_000.0 + f64::from(delivered) * share;
-        assert!(read <= allowed, "{lost} lost, {delivered} delivered: {read} read again, {allowed} allowed");
-        assert!(read > 0.0 && asked >= lost);
+        assert!(
+            reread_tokens <= allowed,
+            "{lost} lost, {delivered} delivered: {reread_tokens} read again, {allowed} allowed"
+        );
+        assert!(reread_tokens > 0.0 && asked >= lost);
         if lost == 50 {
-            assert_eq!(read, 40_000.0, "a small burst is recovered completely");
+            assert_eq!(reread_tokens, 40_000.0, "a small burst is recovered completely");
         }
     }
 }
--- a/crates/recovery/tests/orders.rs
+++ b/crates/recovery/tests/orders.rs
@@ -114,9 +114,9 @@
                 self.client.push_str(&new);
                 self.next_position = self.next_position.map(|at| at + 1);
             }
-            Err(refused) => {
+            Err(rejected) => {
                 assert_eq!(self.answer.tokens(), tokens_before);
-                if matches!(refused, PieceRejected::WrongPosition | PieceRejected::DifferentText) {
+                if matches!(rejected, PieceRejected::WrongPosition | PieceRejected::DifferentText) {
                     self.lose_writer();
                 }
             }
