--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -10,6 +10,7 @@
 use std::process::ExitCode;
 use wire::{Error, Fields};
 
+/// All dispatcher instances, and the reply to the batch that is being read.
 #[derive(Default)]
 struct Process {
     instances: FxHashMap<u64, Instance>,
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -97,8 +97,9 @@
         Ok(Some(load))
     }
 
-    /// The outcome of a shot and its note, a number whose meaning depends on the outcome. `read_note` reads the note, which
-    /// follows the outcome.
+    /// The outcome of a shot and its note, a number whose meaning depends on the outcome: the cached tokens of a read
+    /// or an answer, or 1 with code 429 if the writer found no state. `read_note` reads the note, which follows the
+    /// outcome.
     pub fn outcome(
         &mut self,
         read_note: impl FnOnce(&mut Self) -> Result<u64, Error>,
