--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -48,7 +48,7 @@
                 }
             }
             Ok(RequestEvent::NeedMore { .. }) => match link.read(&mut buffer, deadline) {
-                Ok(got) if got > 0 => reader.feed(&buffer[..got]),
+                Ok(received) if received > 0 => reader.feed(&buffer[..received]),
                 _ => return,
             },
             Err(refusal) => {
@@ -104,16 +104,16 @@
         let rows: Vec<_> =
             hosts.into_iter().filter_map(|name| Some((core.host_index(&name)?, name))).collect();
         let prefixes = core.prefixes()?;
-        let (blocks, held) = prefixes.index().sizes();
+        let (blocks, holdings) = prefixes.index().sizes();
         let rows: Vec<Value> = rows
             .into_iter()
             .map(|(host, name)| {
-                let (held, confidence) = prefixes.host_status(now, host);
-                json!({"host": name, "tokens": u64::from(held) * u64::from(BLOCK_TOKENS), "belief": confidence})
+                let (held_blocks, confidence) = prefixes.host_status(now, host);
+                json!({"host": name, "tokens": u64::from(held_blocks) * u64::from(BLOCK_TOKENS), "belief": confidence})
             })
             .collect();
         Some(json!({
-            "blocks": blocks, "held": held, "most_blocks": prefixes.index().max_blocks(),
+            "blocks": blocks, "held": holdings, "most_blocks": prefixes.index().max_blocks(),
             "bytes": prefixes.index().max_bytes(), "tokens_a_block": BLOCK_TOKENS,
             "doubted": prefixes.fleet_suspected(), "hosts": rows,
         }))
--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -80,7 +80,7 @@
 
 /// Accepts client connections and starts their coroutines.
 pub fn start(shared: Arc<Shared>, listener: Listener) {
-    let addresses: Arc<Mutex<BTreeMap<IpAddr, usize>>> = Arc::default();
+    let address_counts: Arc<Mutex<BTreeMap<IpAddr, usize>>> = Arc::default();
     spawn(move || {
         loop {
             let Ok((link, peer)) = listener.accept() else {
@@ -88,22 +88,24 @@
                 tulipstall_net::sleep(Duration::from_millis(10));
                 continue;
             };
-            let (shared, addresses, ip) = (shared.clone(), addresses.clone(), peer.ip());
+            let (shared, address_counts, ip) = (shared.clone(), address_counts.clone(), peer.ip());
             let limits = &shared.settings.limits;
             let open_connections = shared.connections.fetch_add(1, Ordering::SeqCst);
-            let from_address = addresses.lock().map_or(0, |mut addresses| {
-                let count = addresses.entry(ip).or_insert(0);
+            let connections_from_address = address_counts.lock().map_or(0, |mut address_counts| {
+                let count = address_counts.entry(ip).or_insert(0);
                 *count += 1;
                 *count
             });
-            if open_connections >= limits.connections || from_address > limits.connections_per_address {
+            if open_connections >= limits.connections
+                || connections_from_address > limits.connections_per_address
+            {
                 refuse_connection(&shared, &link);
-                release_connection(&shared, &addresses, ip);
+                release_connection(&shared, &address_counts, ip);
                 continue;
             }
             spawn(move || {
                 // The guard also counts the connection out if its coroutine panics.
-                let _guard = ConnectionGuard { shared: shared.clone(), addresses, ip };
+                let _guard = ConnectionGuard { shared: shared.clone(), address_counts, ip };
                 serve_connection(&shared, link);
             });
         }
@@ -153,14 +155,14 @@
 }
 
 /// Subtracts a closed connection from the counts.
-fn release_connection(shared: &Shared, addresses: &Mutex<BTreeMap<IpAddr, usize>>, ip: IpAddr) {
+fn release_connection(shared: &Shared, address_counts: &Mutex<BTreeMap<IpAddr, usize>>, ip: IpAddr) {
     shared.connections.fetch_sub(1, Ordering::SeqCst);
-    if let Ok(mut addresses) = addresses.lock()
-        && let Some(count) = addresses.get_mut(&ip)
+    if let Ok(mut address_counts) = address_counts.lock()
+        && let Some(count) = address_counts.get_mut(&ip)
     {
         *count -= 1;
         if *count == 0 {
-            addresses.remove(&ip);
+            address_counts.remove(&ip);
         }
     }
 }
@@ -168,13 +170,14 @@
 /// Counts a connection out when dropped.
 struct ConnectionGuard {
     shared: Arc<Shared>,
-    addresses: Arc<Mutex<BTreeMap<IpAddr, usize>>>,
+    /// Open connections by client address.
+    address_counts: Arc<Mutex<BTreeMap<IpAddr, usize>>>,
     ip: IpAddr,
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        release_connection(&self.shared, &self.addresses, self.ip);
+        release_connection(&self.shared, &self.address_counts, self.ip);
     }
 }
 
@@ -194,6 +197,7 @@
 fn read_requests(shared: &Shared, client: &Client, inbox: &Sender<ConnectionMessage>) -> ConnectionMessage {
     let times = &shared.settings.times;
     let mut reader = RequestReader::new(http_limits(shared));
+    // When the head or body that is being received began, and whether it is a body.
     let mut reading_since: Option<(Instant, bool)> = None;
     loop {
         match reader.poll() {
@@ -256,17 +260,17 @@
         writer: std::sync::Mutex::new(None),
         pipeline_slots: Semphore::new(MAX_PIPELINED_REQUESTS),
     });
-    let (reader_shared, reading, messages) = (shared.clone(), client.clone(), sender.clone());
+    let (reader_shared, reader_client, reader_sender) = (shared.clone(), client.clone(), sender.clone());
     spawn(move || {
-        let end = read_requests(&reader_shared, &reading, &messages);
+        let end = read_requests(&reader_shared, &reader_client, &reader_sender);
         let refused = matches!(end, ConnectionMessage::Refused(_));
-        let _ = messages.send(end);
+        let _ = reader_sender.send(end);
         if refused {
-            wait_for_disconnect(&reading);
-            let _ = messages.send(ConnectionMessage::ClientLeft);
+            wait_for_disconnect(&reader_client);
+            let _ = reader_sender.send(ConnectionMessage::ClientLeft);
         }
-        reading.gone.store(true, Ordering::Release);
-        if let Ok(writer) = reading.writer.lock()
+        reader_client.gone.store(true, Ordering::Release);
+        if let Ok(writer) = reader_client.writer.lock()
             && let Some(writer) = &*writer
         {
             writer.shut();
@@ -489,7 +493,7 @@
     fn handle_messages(&mut self, head: &RequestHead, body: &[u8], options: ResponseOptions) -> bool {
         let parsed = self.build_request(head, body);
         let rejection = parsed.as_ref().ok().and_then(|_| self.admission_error());
-        let (call, request, reference) = match (parsed, rejection) {
+        let (call, request, idempotency_key) = match (parsed, rejection) {
             (Ok(parsed), None) => parsed,
             (Err(error), _) => {
                 self.count_refusal(error.kind.status());
@@ -510,7 +514,7 @@
             max_tokens: call.max_tokens,
             stop: call.stop_sequences,
             sampling: call.sampling,
-            reference,
+            reference: idempotency_key,
             resume: None,
         };
         let offering = request.offering as usize;
@@ -677,8 +681,8 @@
         }
     }
 
-    /// Looks for another writer while the current one still sends. Only for a short time, as nothing is lost without one:
-    /// meanwhile the client's stream pauses and the current writer's data waits in the socket.
+    /// Looks for another writer while the current one still sends. The search is short: the client's stream pauses during
+    /// it, with the current writer's data waiting in the socket, and goes on with the current writer if it fails.
     pub fn find_better_writer(
         &mut self,
         first: &Arc<Task>,
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -79,7 +79,7 @@
         if standing == HostStanding::Gone
             && let Ok(streams) = self.streams.lock()
         {
-            // Streams that are waiting for data get this short time, not what a listed host has.
+            // A read that already waits for data gets this short time-out too, not that of a listed host.
             let deadline = Instant::now() + GONE_STALL_TIMEOUT;
             streams.iter().for_each(|(_, link)| link.shorten_read_deadline(deadline));
         }
@@ -104,6 +104,7 @@
 /// All hosts of the dispatcher.
 pub struct Hosts {
     table: Mutex<HostTable>,
+    /// Limits for the idle connections in each host's pool.
     max_idle_connections: usize,
     idle_timeout: Duration,
     save_sender: Option<mpsc::Sender<HostList>>,
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -70,6 +70,7 @@
     pub run_id: u64,
     /// Secret key for the hashes of prompts: random in each process and never written out.
     pub prefix_key: HashKey,
+    /// Names of the load metrics that engines report, in the order of the settings.
     pub load_names: Vec<String>,
     /// Texts of begun answers, held so that another writer can continue a lost one.
     pub answers: Arc<TextBudget>,
@@ -146,9 +147,10 @@
         let control_listener = settings.control.map(Listener::bind).transpose()?;
         let address = listener.local_addr()?;
         let control = control_listener.as_ref().map(Listener::local_addr).transpose()?;
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let run_id =
-            settings.seed.unwrap_or(0) ^ since.as_nanos() as u64 ^ (u64::from(std::process::id()) << 40);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let run_id = settings.seed.unwrap_or(0)
+            ^ since_epoch.as_nanos() as u64
+            ^ (u64::from(std::process::id()) << 40);
         let (sender, receiver) = mpsc::channel();
         let shared = Arc::new(Shared {
             start: Instant::now(),
--- a/crates/dispatcher/src/owner.rs
+++ b/crates/dispatcher/src/owner.rs
@@ -125,10 +125,10 @@
             if message.is_some() {
                 self.shared.owner_queue.free_slots.post();
             }
-            let before = Instant::now();
+            let decision_start = Instant::now();
             let mut outputs = std::mem::take(&mut self.outputs);
             self.decide(self.shared.now(), message, &mut outputs);
-            self.shared.metrics.decision_nanoseconds.inc_by(before.elapsed().as_nanos() as u64);
+            self.shared.metrics.decision_nanoseconds.inc_by(decision_start.elapsed().as_nanos() as u64);
             self.shared.metrics.events.inc();
             self.shared.metrics.overdue.set(self.core.counts().overdue as i64);
             self.update_prefix_metrics();
@@ -194,10 +194,10 @@
         // The shot of the lost answer that this task continues is already closed: the same coroutine reported it before.
         // The group of that shot binds this task and every later continuation: without this, a second loss could lead
         // out of the first one's group.
-        let entered = self.tasks[slot].as_ref();
-        let earlier_run = entered.and_then(|entered| {
-            let run = entered.task.continues.as_ref()?.first_possible_run()?;
-            entered.task.set_first_possible_run(run);
+        let active = self.tasks[slot].as_ref();
+        let earlier_run = active.and_then(|active| {
+            let run = active.task.continues.as_ref()?.first_possible_run()?;
+            active.task.set_first_possible_run(run);
             Some(run)
         });
         self.core.start_task(now, id, &TaskRequest { earlier_run, ..request.clone() }, outputs);
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -173,7 +173,7 @@
         let Ended::Lost(why) = ended else { break ended };
         log_loss(&current, &begun, why);
         begun.reply.link.shut();
-        begun.shot.close(Outcome::Broken, relay.end(begun.load));
+        begun.shot.close(Outcome::Broken, relay.shot_report(begun.load));
         let hard_stop = Duration::from_millis(relay.shared.settings.offerings[task.offering].hard_stop_ms);
         let within = if form.streamed { hard_stop } else { time_left(task.deadline) };
         let search_began = Instant::now();
@@ -204,7 +204,7 @@
     };
     relay.end_pings();
     let keep_open = options.keep_alive && !(form.streamed && form.http10);
-    let end = relay.end(begun.load);
+    let end = relay.shot_report(begun.load);
     relay.shared.metrics.answer_tokens.inc_by(u64::from(relay.token_counts.output_tokens));
     match ended {
         Ended::Complete => {
@@ -249,7 +249,7 @@
 
 impl Relay {
     /// The report of a shot's end, with the token counts.
-    fn end(&self, load: Option<LoadReport>) -> ShotReport {
+    fn shot_report(&self, load: Option<LoadReport>) -> ShotReport {
         let (cached_tokens, answer_tokens) =
             (self.token_counts.cached_tokens, self.token_counts.output_tokens);
         ShotReport {
@@ -366,13 +366,13 @@
         let means = self
             .pace_means(task.offering)
             .filter(|_| self.may_move && self.answer_so_far.may_move().is_some());
-        let mut stream: Option<StreamPace> = None;
+        let mut stream_pace: Option<StreamPace> = None;
         let mut longest_pause = Duration::ZERO;
         let mut pieces = std::mem::take(&mut begun.pieces);
         let (mut bytes, mut events, mut ended) = (Vec::new(), Vec::new(), false);
         let first_writer = !self.head_sent;
         if let Some(usage) = pieces.iter().find_map(|piece| piece.usage).filter(|_| first_writer) {
-            self.count(usage);
+            self.update_token_counts(usage);
             self.token_counts.output_tokens = 0;
         }
         if self.form.streamed && first_writer {
@@ -397,10 +397,10 @@
                         let sent = self.flush();
                         return if sent.is_ok() { Ended::Complete } else { Ended::ClientGone };
                     }
-                    Err(refused @ (PieceRejected::TooManyTokens | PieceRejected::AfterEnd)) => {
-                        return Ended::Invalid(refused.reason());
+                    Err(rejected @ (PieceRejected::TooManyTokens | PieceRejected::AfterEnd)) => {
+                        return Ended::Invalid(rejected.reason());
                     }
-                    Err(refused) => return Ended::Lost(refused.reason()),
+                    Err(rejected) => return Ended::Lost(rejected.reason()),
                 }
             }
             if self.flush().is_err() {
@@ -432,17 +432,19 @@
             {
                 let (at, tokens) = (self.shared.now(), self.answer_so_far.tokens());
                 let first_token = first_token_at.saturating_duration_since(self.shared.start);
-                let stream = stream.get_or_insert_with(|| StreamPace::new(first_token, at, tokens));
+                let stream_pace = stream_pace.get_or_insert_with(|| StreamPace::new(first_token, at, tokens));
                 let drain_left =
                     begun.endpoint.draining_since().map(|since| host_drain.saturating_sub(since.elapsed()));
-                if let Some(why) = stream.check(at, tokens, self.max_tokens, token_pace, means, drain_left) {
+                if let Some(why) =
+                    stream_pace.check(at, tokens, self.max_tokens, token_pace, means, drain_left)
+                {
                     return Ended::Move(why);
                 }
             }
             bytes.clear();
-            let since = Instant::now();
+            let read_began = Instant::now();
             // If the host leaves the list during the wait, `Endpoint::set_standing` shortens it.
-            let mut read_deadline = since
+            let mut read_deadline = read_began
                 + if begun.endpoint.is_gone() {
                     GONE_STALL_TIMEOUT.min(stall_timeout)
                 } else {
@@ -463,7 +465,7 @@
                 Err(Fault::Malformed) => return Ended::Lost("rubbish"),
                 Err(_) => return Ended::Lost("broken"),
             };
-            longest_pause = longest_pause.max(since.elapsed());
+            longest_pause = longest_pause.max(read_began.elapsed());
             if begun.events.feed(&bytes, &mut events).is_err() {
                 return Ended::Lost("rubbish");
             }
@@ -491,7 +493,7 @@
     /// Takes over a writer's token counts. A writer that fetched the reader's state did not compute the prompt, so the
     /// cached tokens are those that the reader counted. A writer that continues an answer counts from where it began, and
     /// its prompt includes the answer so far.
-    fn count(&mut self, usage: Usage) {
+    fn update_token_counts(&mut self, usage: Usage) {
         if self.answer_so_far.losses() == 0 {
             self.token_counts.prompt_tokens = usage.prompt_tokens;
             self.token_counts.cached_tokens = self.reader_cached_tokens.unwrap_or(usage.cached_tokens);
@@ -516,7 +518,7 @@
             }
         }
         match piece.usage {
-            Some(usage) => self.count(usage),
+            Some(usage) => self.update_token_counts(usage),
             None => self.token_counts.output_tokens = self.answer_so_far.tokens(),
         }
         if self.answer_so_far.losses() > 0 && self.answer_so_far.may_end() && piece.finish.is_none() {
--- a/crates/dispatcher/src/reply.rs
+++ b/crates/dispatcher/src/reply.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// What a response's head says beside status and content type.
+/// What a response's head contains besides status and content type.
 #[derive(Clone, Copy, Default)]
 pub struct ResponseOptions<'a> {
     pub request_id: &'a str,
--- a/crates/dispatcher/src/shot.rs
+++ b/crates/dispatcher/src/shot.rs
@@ -84,28 +84,28 @@
         kind: ShotKind,
         state: Option<(HeldState, Arc<Endpoint>)>,
     ) {
-        let closing =
+        let end_guard =
             ShotEndGuard { shared: self.shared.clone(), id: self.id, number: self.number, reported: false };
-        let Some(endpoint) = endpoint else { return closing.close(Outcome::Moot, ShotReport::default()) };
+        let Some(endpoint) = endpoint else { return end_guard.close(Outcome::Moot, ShotReport::default()) };
         let reader_cached_tokens = state.as_ref().map(|(held, _)| held.cached_tokens);
         match self.attempt(&endpoint, kind, state) {
-            Ok(ShotResult::Ended(outcome, end)) => closing.close(outcome, end),
-            Err(outcome) => closing.close(self.final_outcome(outcome), ShotReport::default()),
+            Ok(ShotResult::Ended(outcome, end)) => end_guard.close(outcome, end),
+            Err(outcome) => end_guard.close(self.final_outcome(outcome), ShotReport::default()),
             Ok(ShotResult::StreamBegun(load, reply, events, pieces, done)) => {
                 if !self.control.begin() {
-                    return closing.close(Outcome::Cancelled, ShotReport::default());
+                    return end_guard.close(Outcome::Cancelled, ShotReport::default());
                 }
                 if !self.task.claim(self.number) {
                     // Another answer was first: closing the connection tells the writer to stop.
                     reply.link.shut();
-                    return closing.close(Outcome::Cancelled, ShotReport::default());
+                    return end_guard.close(Outcome::Cancelled, ShotReport::default());
                 }
                 self.shared
                     .owner_queue
                     .send(OwnerMessage::CoreInput(Input::AnswerBegan { task: self.id, shot: self.number }));
                 self.shared.metrics.first_token.observe(self.task.arrived.elapsed().as_secs_f64());
                 let begun = BegunAnswer {
-                    shot: closing,
+                    shot: end_guard,
                     endpoint,
                     reply,
                     events,
@@ -139,7 +139,7 @@
         kind: ShotKind,
         state: Option<(HeldState, Arc<Endpoint>)>,
     ) -> Result<ShotResult, Outcome> {
-        let connect = Duration::from_millis(self.shared.settings.times.connect_ms);
+        let connect_timeout = Duration::from_millis(self.shared.settings.times.connect_ms);
         // If the host has begun to drain or is gone since the decision, or the shot was cancelled, the request was
         // certainly never sent.
         let check_sendable =
@@ -149,11 +149,12 @@
         if time_left(send_by).is_zero() {
             return Err(Outcome::Moot);
         }
-        let link = endpoint.pool.take(connect.min(time_left(send_by))).map_err(|fault| match fault {
-            // A lack of local resources is not the host's fault.
-            Fault::LocalMachine => Outcome::Moot,
-            _ => Outcome::NoConnection,
-        })?;
+        let link =
+            endpoint.pool.take(connect_timeout.min(time_left(send_by))).map_err(|fault| match fault {
+                // A lack of local resources is not the host's fault.
+                Fault::LocalMachine => Outcome::Moot,
+                _ => Outcome::NoConnection,
+            })?;
         self.control.set_link(&link);
         check_sendable(())?;
         let state = state.map(|(held, reader)| State {
@@ -190,7 +191,7 @@
         if head.status != 200 {
             let outcome = engine::error_outcome(head.status, head.header(engine::REASON_HEADER));
             // The head tells why; the body is read only so that the connection can be reused.
-            if reply.whole_body(self.deadline.min(Instant::now() + connect)).is_ok() {
+            if reply.whole_body(self.deadline.min(Instant::now() + connect_timeout)).is_ok() {
                 return_connection(endpoint, reply);
             }
             return Ok(ShotResult::Ended(outcome, ShotReport { load, ..ShotReport::default() }));
@@ -285,12 +286,12 @@
     fresh_connection: bool,
 ) -> Option<tulipstall_http1::ResponseHead> {
     let deadline = Instant::now() + within;
-    let connect = Duration::from_millis(shared.settings.times.connect_ms).min(within);
+    let connect_timeout = Duration::from_millis(shared.settings.times.connect_ms).min(within);
     // All idle connections may be dead.
     let link = if fresh_connection {
-        Link::connect(&endpoint.pool.address(), connect)
+        Link::connect(&endpoint.pool.address(), connect_timeout)
     } else {
-        endpoint.pool.take(connect)
+        endpoint.pool.take(connect_timeout)
     };
     let link = link.ok()?;
     link.write(request.as_bytes(), deadline).ok()?;
@@ -301,8 +302,8 @@
     Some(head)
 }
 
-/// Releases a state held at a host. Only the dispatcher's request has to be sent in time; it is tried three times as a
-/// connection may break.
+/// Releases a state held at a host. Up to three tries, as a connection may break. The time limit for a release applies to
+/// sending the request, not to the host's response.
 pub fn release(shared: &Shared, endpoint: &Endpoint, state: &str) {
     let request =
         format!("DELETE {}{state} HTTP/1.1\r\nhost: {}\r\n\r\n", engine::STATES_PATH, endpoint.name);
--- a/crates/dispatcher/src/task.rs
+++ b/crates/dispatcher/src/task.rs
@@ -36,7 +36,9 @@
     pub continues: Option<Arc<Task>>,
     /// The first shot that may have run; set once its answer is lost.
     first_possible_run: Mutex<Option<PossibleRun>>,
+    /// The task's id in the decision core: slot in the upper half, generation in the lower; all ones until it is set.
     packed_id: AtomicU64,
+    /// `ANSWER_OPEN`, `ANSWER_CLOSED`, or `FIRST_SHOT` plus the number of the shot that answers.
     answer: AtomicU32,
 }
 
@@ -107,6 +109,7 @@
 /// Controls a running shot from outside its coroutine: the owner can cancel it until its answer begins.
 #[derive(Default)]
 pub struct ShotControl {
+    /// `SHOT_PENDING`, `SHOT_BEGUN` or `SHOT_CANCELLED`.
     state: AtomicU8,
     link: Mutex<Option<Link>>,
 }
