--- a/crates/http1/src/sse.rs
+++ b/crates/http1/src/sse.rs
@@ -13,16 +13,19 @@
 
 /// Reads a stream of events. A line or an event longer than the limit is an error.
 pub struct EventReader {
-    limit: usize,
+    /// Maximum length of a line and of an event's data.
+    max_bytes: usize,
     line: Vec<u8>,
     event: Event,
+    /// The current event has a `data` field.
     has_data: bool,
+    /// The last byte was a CR: a LF that follows it ends no further line.
     after_cr: bool,
 }
 
 impl EventReader {
-    pub fn new(limit: usize) -> Self {
-        EventReader { limit, line: Vec::new(), event: Event::default(), has_data: false, after_cr: false }
+    pub fn new(max_bytes: usize) -> Self {
+        EventReader { max_bytes, line: Vec::new(), event: Event::default(), has_data: false, after_cr: false }
     }
 
     /// Reads `bytes` and appends the events that they complete to `out`.
@@ -32,7 +35,7 @@
             match byte {
                 b'\n' if after_cr => {}
                 b'\n' | b'\r' => self.end_line(out)?,
-                _ if self.line.len() >= self.limit => return Err(MalformedResponse("line too long")),
+                _ if self.line.len() >= self.max_bytes => return Err(MalformedResponse("line too long")),
                 other => self.line.push(*other),
             }
         }
@@ -58,7 +61,7 @@
                 }
                 self.has_data = true;
                 self.event.data.push_str(value);
-                if self.event.data.len() > self.limit {
+                if self.event.data.len() > self.max_bytes {
                     return Err(MalformedResponse("event too long"));
                 }
             }
--- a/crates/messages/src/call.rs
+++ b/crates/messages/src/call.rs
@@ -158,7 +158,7 @@
 
 fn parse_body(body: &[u8], needs_max_tokens: bool) -> Result<MessageRequest, ApiError> {
     let body: Body = serde_json::from_slice(body).map_err(|error| invalid(format!("the body: {error}")))?;
-    let required = |what: &str| invalid(format!("{what}: field required"));
+    let required = |field: &str| invalid(format!("{field}: field required"));
     let mut call =
         MessageRequest { model: body.model.ok_or_else(|| required("model"))?, ..MessageRequest::default() };
     if call.model.is_empty() || call.model.len() > 256 {
@@ -180,18 +180,18 @@
     // Accepted for compatibility, has no effect.
     drop(body.service_tier);
     call.stream = body.stream;
-    let range = |what: &str, value: Option<f64>| match value {
-        Some(value) if !(0.0..=1.0).contains(&value) => Err(invalid(format!("{what}: 0 to 1 is wanted"))),
+    let range = |field: &str, value: Option<f64>| match value {
+        Some(value) if !(0.0..=1.0).contains(&value) => Err(invalid(format!("{field}: 0 to 1 is wanted"))),
         Some(value) => Ok(Some(Value::from(value))),
         None => Ok(None),
     };
-    for (what, value) in [
+    for (field, value) in [
         ("temperature", range("temperature", body.temperature)?),
         ("top_p", range("top_p", body.top_p)?),
         ("top_k", body.top_k.map(Value::from)),
     ] {
         if let Some(value) = value {
-            call.sampling.insert(what.to_owned(), value);
+            call.sampling.insert(field.to_owned(), value);
         }
     }
     call.stop_sequences = body.stop_sequences.unwrap_or_default();
