--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -195,12 +195,12 @@
             });
         }
         let tolerance = if attempt.answer == Answer::Left { record.params.notice_us } else { slack };
-        let ends = matches!(
+        let is_final = matches!(
             attempt.answer,
             Answer::Delivered | Answer::Bounced | Answer::BrokenOff | Answer::Left | Answer::Refused(_)
         );
         let shots = traffic.shots.get(tag.as_str()).map_or(&[][..], Vec::as_slice);
-        for shot in shots.iter().filter(|shot| ends && shot.arrived > attempt.ended + tolerance) {
+        for shot in shots.iter().filter(|shot| is_final && shot.arrived > attempt.ended + tolerance) {
             let late = shot.arrived - attempt.ended;
             verdict.violations.push(format!("{tag}: sent to {} {late} us after its final answer", shot.host));
         }
--- a/crates/judge/src/record.rs
+++ b/crates/judge/src/record.rs
@@ -20,6 +20,7 @@
     pub kind: HostEventKind,
 }
 
+/// What happened at a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostEventKind {
@@ -29,8 +30,8 @@
     Write,
     /// Generation of the answer began: from here on the task's effect has happened.
     Ran,
-    /// Generation began for a reference that the host's group still remembers: the effect is discarded, the answer is
-    /// generated.
+    /// Generation began for a reference that the host's group has recorded within its time window: the effect is
+    /// discarded, the answer is generated.
     Repeat,
     /// The request ended, with whether it was refused before it ran.
     Ended { refused: bool },
@@ -186,6 +187,7 @@
 }
 
 impl RuleParams {
+    /// Whether two hosts discard repeats together, for a task with this kind of group.
     pub fn same_group(&self, group: Group, one: &str, other: &str) -> bool {
         let location = |host: &str| self.locations.get(host).cloned().unwrap_or_default();
         match group {
--- a/crates/judge/tests/doctored.rs
+++ b/crates/judge/tests/doctored.rs
@@ -120,7 +120,7 @@
             }),
         ),
         ("two answers", vec![1], with(&|r| r.attempts[0].trailing_bytes = 3)),
-        ("another's text", vec![1], with(&|r| r.attempts[0].text_correct = false)),
+        ("the text of another answer", vec![1], with(&|r| r.attempts[0].text_correct = false)),
         ("bounced late", vec![1], with(&|r| r.attempts[0] = attempt(0, Answer::Bounced, 6021))),
         ("bounced just in time", vec![], with(&|r| r.attempts[0] = attempt(0, Answer::Bounced, 6019))),
         (
@@ -204,26 +204,26 @@
         ),
         ("sent inside the grace", vec![], with(&|r| r.notices.push(notice(0, "w1", false)))),
         (
-            "sent to one that runs again",
+            "sent to a host that runs again",
             vec![],
             with(&|r| r.notices.extend([notice(0, "w1", false), notice(40, "w1", true)]))
                 .tap(|r| r.host_events.iter_mut().filter(|s| s.host == "w1").for_each(|s| s.at += 400 * MS))
                 .tap(|r| r.attempts[0].ended += 500 * MS),
         ),
         (
-            "told twice: the first time counts",
+            "two notices: the first one counts",
             vec![3],
             with(&|r| r.notices.extend([notice(0, "w1", false), notice(200, "w1", false)]))
                 .tap(|r| r.host_events.iter_mut().filter(|s| s.host == "w1").for_each(|s| s.at += 230 * MS)),
         ),
         // Rule 4.
         (
-            "fell over",
+            "failed from overload",
             vec![4],
             with(&|r| r.host_events.push(host_event(320, "w1", HostEventKind::Overloaded))),
         ),
         (
-            "nearly fell over",
+            "nearly overloaded",
             vec![],
             with(&|r| r.host_events.push(host_event(320, "w1", HostEventKind::ColdLoad(990)))),
         ),
@@ -237,14 +237,14 @@
             }),
         ),
         (
-            "let go in time",
+            "released in time",
             vec![],
             with(&|r| {
                 r.host_events.truncate(3);
                 r.host_events.push(host_event(1060, "r1", released()));
             }),
         ),
-        ("never let go", vec![5], with(&|r| r.host_events.truncate(3))),
+        ("never released", vec![5], with(&|r| r.host_events.truncate(3))),
         (
             "held while a shot is out",
             vec![],
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -63,7 +63,7 @@
     pub overload_window_ms: u64,
     /// The hosts that discard repeats of a reference together.
     pub group: Group,
-    /// How long they remember a reference; 0 discards nothing.
+    /// How long after the first run of a reference they discard repeats of it; 0 discards nothing.
     #[serde(rename = "remembers_ms")]
     pub reference_window_ms: u64,
 }
@@ -164,7 +164,7 @@
 pub struct EventLog {
     start: Instant,
     events: Mutex<Vec<HostEvent>>,
-    /// When each reference ran, by the group that remembers it.
+    /// When each reference last ran, by group and reference.
     references_run: Mutex<BTreeMap<(String, String), Instant>>,
 }
 
@@ -213,6 +213,7 @@
     created: Instant,
 }
 
+/// The state of a host that changes while it runs.
 #[derive(Default)]
 struct Inner {
     cache: PrefixCache,
@@ -230,6 +231,7 @@
     cold_arrivals: VecDeque<Instant>,
     started: Option<Instant>,
     cold: bool,
+    /// The highest load while cold, in thousandths of what overloads the host.
     peak_cold_load: u64,
 }
 
@@ -240,6 +242,7 @@
     pub address: SocketAddr,
     log: Arc<EventLog>,
     inner: Mutex<Inner>,
+    /// The current faults, and when they were set.
     faults: Mutex<(HostFaults, Instant)>,
     up: AtomicBool,
     overloaded: AtomicBool,
@@ -279,9 +282,9 @@
         Ok(host)
     }
 
-    /// Remembers a reference for the host's group. Returns whether the group remembered it already, so that the effect of
-    /// its task is discarded.
-    fn remember_reference(&self, reference: &str) -> bool {
+    /// Records a reference for the host's group. Returns whether the group had recorded it already within its time window,
+    /// so that the effect of its task is discarded.
+    fn record_reference(&self, reference: &str) -> bool {
         let group = match self.spec.group {
             Group::All => String::new(),
             Group::Zone => self.spec.zone.clone(),
@@ -404,25 +407,25 @@
         let spec = &self.spec;
         let mut inner = self.inner();
         let (true, Some(started)) = (inner.cold, inner.started) else { return };
-        let age = started.elapsed().as_secs_f64() / (spec.warm_up_ms.max(1) as f64 / 1e3);
-        if age >= 1.0 {
+        let warm_up_progress = started.elapsed().as_secs_f64() / (spec.warm_up_ms.max(1) as f64 / 1e3);
+        if warm_up_progress >= 1.0 {
             inner.cold = false;
             return;
         }
-        let (now, span) = (Instant::now(), Duration::from_millis(spec.overload_window_ms));
+        let (now, window) = (Instant::now(), Duration::from_millis(spec.overload_window_ms));
         inner.cold_arrivals.push_back(now);
-        while inner.cold_arrivals.front().is_some_and(|at| now.duration_since(*at) > span) {
+        while inner.cold_arrivals.front().is_some_and(|at| now.duration_since(*at) > window) {
             inner.cold_arrivals.pop_front();
         }
-        let capacity_share = spec.cold_share + (1.0 - spec.cold_share) * age;
-        let limit = spec.overload_multiple * capacity_share * spec.capacity_per_s * span.as_secs_f64();
-        let share = (1000.0 * inner.cold_arrivals.len() as f64 / limit.max(1.0)) as u64;
-        if share > inner.peak_cold_load {
-            inner.peak_cold_load = share;
-            self.record("", "", HostEventKind::ColdLoad(share));
+        let capacity_share = spec.cold_share + (1.0 - spec.cold_share) * warm_up_progress;
+        let limit = spec.overload_multiple * capacity_share * spec.capacity_per_s * window.as_secs_f64();
+        let load_thousandths = (1000.0 * inner.cold_arrivals.len() as f64 / limit.max(1.0)) as u64;
+        if load_thousandths > inner.peak_cold_load {
+            inner.peak_cold_load = load_thousandths;
+            self.record("", "", HostEventKind::ColdLoad(load_thousandths));
         }
         drop(inner);
-        if share > 1000 {
+        if load_thousandths > 1000 {
             self.record("", "", HostEventKind::Overloaded);
             self.overloaded.store(true, Ordering::SeqCst);
             self.crash();
@@ -430,16 +433,16 @@
     }
 
     /// Drops the states that were not fetched in time.
-    fn expire(&self) {
-        let mut gone = Vec::new();
+    fn drop_expired_states(&self) {
+        let mut expired = Vec::new();
         self.inner().states.retain(|id, state| {
             let keep = state.created.elapsed() < STATE_TTL;
             if !keep {
-                gone.push((id.clone(), state.tag.clone(), state.dispatcher.clone()));
+                expired.push((id.clone(), state.tag.clone(), state.dispatcher.clone()));
             }
             keep
         });
-        for (id, tag, dispatcher) in gone {
+        for (id, tag, dispatcher) in expired {
             self.record(&tag, &dispatcher, HostEventKind::StateExpired(id));
         }
     }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -61,7 +61,7 @@
                 }
             }
             Ok(_) => match link.read(&mut buffer, Instant::now() + IDLE_TIMEOUT) {
-                Ok(got) if got > 0 => reader.feed(&buffer[..got]),
+                Ok(received) if received > 0 => reader.feed(&buffer[..received]),
                 _ => break,
             },
             Err(_) => break,
@@ -72,7 +72,7 @@
 
 /// Answers one request. Returns whether the connection can be used for another.
 fn answer(host: &Arc<Host>, link: &Link, generation: u64, head: &RequestHead, body: &[u8]) -> bool {
-    host.expire();
+    host.drop_expired_states();
     let path = head.path().to_owned();
     let dispatcher = head.header("via").and_then(|via| via.split(' ').nth(1)).unwrap_or("").to_owned();
     let reference = head.header(engine::REFERENCE_HEADER).map(str::to_owned);
@@ -305,22 +305,22 @@
         if !self.wait_for_slot() {
             return self.refuse(429, "full");
         }
-        let slot = self.host.next_id.fetch_add(1, Ordering::SeqCst);
-        self.host.inner().streams.insert(slot, 0);
-        let reusable = self.stream(completion, fetches, slot);
-        self.host.inner().streams.remove(&slot);
+        let stream_id = self.host.next_id.fetch_add(1, Ordering::SeqCst);
+        self.host.inner().streams.insert(stream_id, 0);
+        let reusable = self.stream(completion, fetches, stream_id);
+        self.host.inner().streams.remove(&stream_id);
         reusable
     }
 
     /// Waits for a slot. Returns false if the queue is full or the request is no longer wanted.
     fn wait_for_slot(&self) -> bool {
         let spec = &self.host.spec;
-        let free = |streams: &BTreeMap<u64, u64>| {
+        let has_free_slot = |streams: &BTreeMap<u64, u64>| {
             streams.len() < spec.slots as usize && streams.values().sum::<u64>() < spec.memory_tokens
         };
         {
             let mut inner = self.host.inner();
-            if free(&inner.streams) && inner.queued == 0 {
+            if has_free_slot(&inner.streams) && inner.queued == 0 {
                 return true;
             }
             if inner.queued >= spec.queue {
@@ -330,14 +330,14 @@
         }
         let mut free_slot = false;
         while !free_slot && self.sleep_while_wanted(Duration::from_millis(5)) {
-            free_slot = free(&self.host.inner().streams);
+            free_slot = has_free_slot(&self.host.inner().streams);
         }
         let mut inner = self.host.inner();
         inner.queued = inner.queued.saturating_sub(1);
         free_slot
     }
 
-    fn stream(&self, completion: &Completion, fetches: bool, slot: u64) -> bool {
+    fn stream(&self, completion: &Completion, fetches: bool, stream_id: u64) -> bool {
         let (prompt_tokens, cached) = if fetches {
             match completion.kv_transfer_params.as_ref().and_then(|params| self.fetch_state(params)) {
                 Some(tokens) => (tokens, tokens),
@@ -354,14 +354,14 @@
             return false;
         }
         let is_repeat =
-            self.reference.as_ref().is_some_and(|reference| self.host.remember_reference(reference));
+            self.reference.as_ref().is_some_and(|reference| self.host.record_reference(reference));
         self.record(if is_repeat { HostEventKind::Repeat } else { HostEventKind::Ran });
-        let reusable = self.tokens(completion, prompt_tokens, cached, slot);
+        let reusable = self.send_tokens(completion, prompt_tokens, cached, stream_id);
         self.record_end(false);
         reusable
     }
 
-    fn tokens(&self, completion: &Completion, prompt_tokens: u32, cached: u32, slot: u64) -> bool {
+    fn send_tokens(&self, completion: &Completion, prompt_tokens: u32, cached: u32, stream_id: u64) -> bool {
         let head = format!(
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n{}\r\n",
             self.load_header_line()
@@ -370,17 +370,17 @@
             return false;
         }
         // A resumed answer is the answer to the original prompt, from the given position on.
-        let answered = completion.resume.map_or(0, |resume| resume.answer_bytes);
+        let answered_bytes = completion.resume.map_or(0, |resume| resume.answer_bytes);
         let original =
-            completion.prompt.get(..completion.prompt.len().saturating_sub(answered)).unwrap_or("");
+            completion.prompt.get(..completion.prompt.len().saturating_sub(answered_bytes)).unwrap_or("");
         let from = completion.resume.map_or(0, |resume| resume.from);
-        let most = from + completion.max_tokens;
+        let max_length = from + completion.max_tokens;
         let tokens = text::Tokens::for_prompt(original);
-        let length = tokens.count().min(most);
-        let complete = tokens.count() <= most;
+        let length = tokens.count().min(max_length);
+        let fits = tokens.count() <= max_length;
         let (mut written, mut finish, mut stop_sequence) = (Vec::new(), None, None);
         for at in from.. {
-            if !self.wait_for_token(slot, u64::from(prompt_tokens) + u64::from(at)) {
+            if !self.wait_for_token(stream_id, u64::from(prompt_tokens) + u64::from(at)) {
                 return false;
             }
             let faults = self.host.faults();
@@ -416,7 +416,7 @@
             if let Some(stop) = completion.stop.iter().find(|stop| written.ends_with(stop.as_bytes())) {
                 (finish, stop_sequence) = (Some("stop"), Some(stop.clone()));
             } else if at + 1 == length && fault != Some(StreamFault::ExtraTokens) {
-                finish = Some(if complete { "stop" } else { "length" });
+                finish = Some(if fits { "stop" } else { "length" });
             }
             let (text, bytes) = match std::str::from_utf8(&word) {
                 Ok(text) => (text, None),
@@ -450,18 +450,18 @@
 
     /// Sleeps for the time of one token, longer with more streams. When memory runs out, the newest stream is preempted,
     /// waits for memory and has its prompt read again.
-    fn wait_for_token(&self, slot: u64, tokens: u64) -> bool {
+    fn wait_for_token(&self, stream_id: u64, tokens: u64) -> bool {
         let spec = &self.host.spec;
         let slowdown = self.host.faults().slowdown;
         let (load, preempted) = {
             let mut inner = self.host.inner();
-            inner.streams.insert(slot, tokens);
-            let newest = inner.streams.keys().next_back() == Some(&slot);
+            inner.streams.insert(stream_id, tokens);
+            let newest = inner.streams.keys().next_back() == Some(&stream_id);
             let full = inner.streams.values().sum::<u64>() > spec.memory_tokens;
             (inner.streams.len() as f64 / f64::from(spec.slots.max(1)), newest && full)
         };
         if preempted {
-            self.host.inner().streams.insert(slot, 0);
+            self.host.inner().streams.insert(stream_id, 0);
             loop {
                 let held = self.host.inner().streams.values().sum::<u64>();
                 if held + tokens <= spec.memory_tokens || held == 0 {
--- a/crates/standin/src/text.rs
+++ b/crates/standin/src/text.rs
@@ -39,22 +39,24 @@
     hasher.finish()
 }
 
-/// The token at a position of the answer to a prompt, by the prompt's hash.
-pub fn word(prompt: u64, at: u32) -> &'static str {
-    WORDS[(hash((prompt, at)) % WORDS.len() as u64) as usize]
+/// The word at a position of the answer to a prompt, by the prompt's hash.
+pub fn word(prompt_hash: u64, at: u32) -> &'static str {
+    WORDS[(hash((prompt_hash, at)) % WORDS.len() as u64) as usize]
 }
 
-/// The first tokens of the answer to a prompt, as text.
-pub fn answer(prompt: &str, tokens: u32) -> String {
-    let prompt = hash(prompt);
-    (0..tokens).map(|at| word(prompt, at)).collect()
+/// The first words of the answer to a prompt, as text.
+pub fn answer(prompt: &str, words: u32) -> String {
+    let prompt_hash = hash(prompt);
+    (0..words).map(|at| word(prompt_hash, at)).collect()
 }
 
 /// The tokens of an answer. A token is a word, or, where the prompt contains `[[bytes]]`, two bytes of the text, so that
 /// characters are split between tokens.
 pub struct Tokens {
-    prompt: u64,
+    prompt_hash: u64,
+    /// Length of the answer in words.
     words: u32,
+    /// The answer's text, if its tokens are pairs of bytes.
     bytes: Option<Vec<u8>>,
 }
 
@@ -62,7 +64,7 @@
     pub fn for_prompt(prompt: &str) -> Tokens {
         let words = length(prompt);
         let bytes = prompt.contains("[[bytes]]").then(|| answer(prompt, words).into_bytes());
-        Tokens { prompt: hash(prompt), words, bytes }
+        Tokens { prompt_hash: hash(prompt), words, bytes }
     }
 
     pub fn count(&self) -> u32 {
@@ -72,7 +74,7 @@
     pub fn token(&self, at: u32) -> Vec<u8> {
         match &self.bytes {
             Some(bytes) => bytes.chunks(2).nth(at as usize).unwrap_or_default().to_vec(),
-            None => word(self.prompt, at).as_bytes().to_vec(),
+            None => word(self.prompt_hash, at).as_bytes().to_vec(),
         }
     }
 }
@@ -99,7 +101,7 @@
 pub fn blocks(prompt: &str) -> (Vec<u64>, u32) {
     let (mut blocks, mut tokens, mut chain, mut in_block) = (Vec::new(), 0u32, 0u64, 0usize);
     let (mut token, mut chars, mut ascii) = (0u64, 0u32, true);
-    let mut end = |token: u64| {
+    let mut end_token = |token: u64| {
         tokens += 1;
         in_block += 1;
         chain = hash((chain, token));
@@ -110,7 +112,7 @@
     };
     for c in prompt.chars() {
         if chars > 0 && (c.is_ascii() != ascii || chars == if ascii { 4 } else { 2 }) {
-            end(token);
+            end_token(token);
             (token, chars) = (0, 0);
         }
         ascii = c.is_ascii();
@@ -118,7 +120,7 @@
         chars += 1;
     }
     if chars > 0 {
-        end(token);
+        end_token(token);
     }
     (blocks, tokens)
 }
