--- a/crates/dispatcher/src/front.rs
+++ b/crates/dispatcher/src/front.rs
@@ -529,7 +529,7 @@
         self.shared.metrics.answers.with_label_values(&[offering, answer]).inc();
         let ms = task.arrived.elapsed().as_millis() as u64;
         tracing::info!(
-            request_id = task.name,
+            request_id = task.request_id,
             task = task.id().map(|id| id.slot),
             offering,
             answer,
@@ -546,7 +546,7 @@
         form: relay::ResponseForm,
         options: ResponseOptions,
     ) -> (&'static str, bool) {
-        tracing::error!(request_id = task.name, "a panic while answering: the task is broken off");
+        tracing::error!(request_id = task.request_id, "a panic while answering: the task is broken off");
         task.close();
         if let Ok(mut writer) = self.client.writer.lock()
             && let Some(writer) = writer.take()
@@ -565,7 +565,7 @@
             Err(_) => return ("broken off", false),
         };
         let text = if streaming {
-            relay::stream_error_end(&error, &task.name, form)
+            relay::stream_error_end(&error, &task.request_id, form)
         } else {
             reply::error(
                 &error,
@@ -724,8 +724,8 @@
             ..first.request.clone()
         };
         let engine_request = EngineRequest { text, max_tokens, resume, ..first.engine_request.clone() };
-        let (name, inbox) = (first.name.clone(), self.sender.clone());
-        let mut task = Task::new(name, engine_request, request.clone(), self.ticket, inbox);
+        let (request_id, inbox) = (first.request_id.clone(), self.sender.clone());
+        let mut task = Task::new(request_id, engine_request, request.clone(), self.ticket, inbox);
         task.continues = Some(lost.clone());
         let task = Arc::new(task);
         self.shared.owner_queue.send(OwnerMessage::Arrive(task.clone(), Box::new(request)));
--- a/crates/dispatcher/src/hosts.rs
+++ b/crates/dispatcher/src/hosts.rs
@@ -243,11 +243,11 @@
     }
     if let Some(path) = settings.hosts_file.clone() {
         reload_if_changed(&shared, &path, &mut None);
-        let mut seen = file_version(&path);
+        let mut last_stamp = file_stamp(&path);
         thread::Builder::new().name("watch-list".into()).spawn(move || {
             loop {
                 thread::sleep(LIST_POLL_INTERVAL);
-                reload_if_changed(&shared, &path, &mut seen);
+                reload_if_changed(&shared, &path, &mut last_stamp);
             }
         })?;
     }
@@ -255,15 +255,15 @@
 }
 
 /// Modification time and size of a file, by which changes are noticed.
-fn file_version(path: &Path) -> Option<(SystemTime, u64)> {
+fn file_stamp(path: &Path) -> Option<(SystemTime, u64)> {
     let metadata = fs::metadata(path).ok()?;
     Some((metadata.modified().ok()?, metadata.len()))
 }
 
-/// Applies the list in the file if the file has changed since `seen`.
-fn reload_if_changed(shared: &Shared, path: &Path, seen: &mut Option<(SystemTime, u64)>) {
-    let current = file_version(path);
-    if current == *seen || current.is_none() {
+/// Applies the list in the file if the file has changed since `last_stamp` was taken.
+fn reload_if_changed(shared: &Shared, path: &Path, last_stamp: &mut Option<(SystemTime, u64)>) {
+    let current = file_stamp(path);
+    if current == *last_stamp || current.is_none() {
         return;
     }
     match read_list(path) {
@@ -274,7 +274,7 @@
             tracing::warn!(path = %path.display(), why, "the list is refused, the last one stays");
         }
     }
-    *seen = current;
+    *last_stamp = current;
 }
 
 /// Reads a list from a file; `None` if the file does not exist.
--- a/crates/dispatcher/src/relay.rs
+++ b/crates/dispatcher/src/relay.rs
@@ -81,8 +81,8 @@
     may_move: bool,
 }
 
-/// How long the search for a better writer may take, as a multiple of the usual gap of a continuation. After that the old
-/// writer is the better one.
+/// How long the search for a better writer may take, as a multiple of the mean time until another writer's first token.
+/// After that the old writer is the better one.
 const MOVE_TIMEOUT_GAPS: f64 = 4.0;
 /// The search may take at least this long.
 const MIN_MOVE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -109,7 +109,7 @@
 
 fn log_loss(task: &Task, begun: &BegunAnswer, why: &str) {
     let (host, slot) = (&begun.endpoint.name, task.id().map(|id| id.slot));
-    tracing::warn!(request_id = task.name, task = slot, host, why, "stream lost");
+    tracing::warn!(request_id = task.request_id, task = slot, host, why, "stream lost");
 }
 
 /// Relays an answer until its end, over several writers if some are lost. Returns the answer's name in metrics and whether
@@ -133,7 +133,7 @@
         Effect::SingleUse => RepeatPolicy::Never,
     };
     let token_counts = TokenCounts { prompt_tokens: begun.usage.prompt_tokens, ..TokenCounts::default() };
-    let id = format!("msg_{}", task.name.trim_start_matches("req_"));
+    let id = format!("msg_{}", task.request_id.trim_start_matches("req_"));
     let mut relay = Relay {
         client: connection.client.clone(),
         answer: AnswerWriter { id, model: task.engine_request.model.clone() },
@@ -184,7 +184,7 @@
                 }
                 relay.shared.metrics.streams_lost.with_label_values(&["went on"]).inc();
                 tracing::info!(
-                    request_id = task.name,
+                    request_id = task.request_id,
                     host = next_begun.endpoint.name,
                     tokens = relay.answer_so_far.tokens(),
                     "goes on"
@@ -316,7 +316,7 @@
         }
         let tokens = self.answer_so_far.tokens();
         tracing::info!(
-            request_id = task.name,
+            request_id = task.request_id,
             from = host,
             host = next_begun.endpoint.name,
             tokens,
@@ -583,7 +583,7 @@
                 ResponseOptions { should_retry: Some(is_repeatable(&self.shared, task)), ..options };
             return self.client.write(&reply::error(error, options)).is_ok();
         }
-        AnswerWriter::error(error, &task.name, &mut self.out);
+        AnswerWriter::error(error, &task.request_id, &mut self.out);
         self.flush().is_ok() && (self.form.http10 || self.client.write(LAST_CHUNK).is_ok())
     }
 }
--- a/crates/dispatcher/src/shot.rs
+++ b/crates/dispatcher/src/shot.rs
@@ -172,7 +172,7 @@
         let request = engine::request(
             &endpoint.name,
             &self.shared.settings.name,
-            &self.task.name,
+            &self.task.request_id,
             &self.task.engine_request,
             &body,
         );
--- a/crates/dispatcher/src/task.rs
+++ b/crates/dispatcher/src/task.rs
@@ -20,8 +20,8 @@
 
 /// One request of a client while the dispatcher works on it.
 pub struct Task {
-    /// The request id, used in logs and in requests to engines.
-    pub name: String,
+    /// Used in logs and in requests to engines. A continuation has the id of the client's request.
+    pub request_id: String,
     pub offering: usize,
     pub engine_request: EngineRequest,
     pub arrived: Instant,
@@ -44,7 +44,7 @@
 
 impl Task {
     pub fn new(
-        name: String,
+        request_id: String,
         engine_request: EngineRequest,
         request: TaskRequest,
         ticket: u64,
@@ -52,7 +52,7 @@
     ) -> Self {
         let arrived = Instant::now();
         Task {
-            name,
+            request_id,
             offering: request.offering as usize,
             engine_request,
             arrived,
