--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -228,6 +228,7 @@
             }
             let cached = (inner.cache.look_up_and_insert(&blocks) * text::BLOCK_TOKENS) as u32;
             let now = Instant::now();
+            // Each read takes at least the time of 16 tokens, also where all of the prompt is cached.
             let read_s = f64::from(tokens - cached.min(tokens) + 16) / spec.read_per_s * slowdown;
             let done = inner.read_until.unwrap_or(now).max(now) + Duration::from_secs_f64(read_s.min(3600.0));
             inner.read_until = Some(done);
