--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -108,7 +108,7 @@
 }
 
 /// The time limit for a whole plain body, and for each read of a streamed one.
-const STREAM_TIMEOUT: Duration = Duration::from_secs(120);
+const BODY_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A number of clients that share a list of tasks. Each takes the next one that is not started.
 pub struct ClientPool<T> {
@@ -213,7 +213,7 @@
     if head.status == 200 && is_stream && request.stream {
         return read_stream(reply, options, until, began, response);
     }
-    let body = match reply.whole_body(until(began + STREAM_TIMEOUT)) {
+    let body = match reply.whole_body(until(began + BODY_TIMEOUT)) {
         Ok(body) => body,
         Err(fault) => return answer_for_fault(fault, options, began),
     };
@@ -250,13 +250,13 @@
 ) -> Answer {
     let mut events = sse::EventReader::new(1 << 20);
     let (mut bytes, mut received, mut phase) = (Vec::new(), Vec::new(), StreamPhase::Start);
-    let mut last: Option<Instant> = None;
+    let mut last_delta: Option<Instant> = None;
     loop {
         if let Some(pause) = options.read_pause {
             tulipstall_net::sleep(pause);
         }
         bytes.clear();
-        let ended = match reply.body(&mut bytes, until(Instant::now() + STREAM_TIMEOUT)) {
+        let ended = match reply.body(&mut bytes, until(Instant::now() + BODY_TIMEOUT)) {
             Ok(ended) => ended,
             Err(fault) => return answer_for_fault(fault, options, began),
         };
@@ -279,9 +279,10 @@
                 "content_block_delta" => {
                     response.first_token.get_or_insert(began.elapsed());
                     let now = Instant::now();
-                    response.longest_gap =
-                        response.longest_gap.max(last.map_or(Duration::ZERO, |last| now - last));
-                    last = Some(now);
+                    response.longest_gap = response
+                        .longest_gap
+                        .max(last_delta.map_or(Duration::ZERO, |last_delta| now - last_delta));
+                    last_delta = Some(now);
                     response.text.push_str(data["delta"]["text"].as_str().unwrap_or_default());
                 }
                 "message_delta" => {
--- a/crates/rig/src/day.rs
+++ b/crates/rig/src/day.rs
@@ -200,8 +200,9 @@
 struct Process {
     name: String,
     child: Option<Child>,
-    settings: PathBuf,
-    addresses: PathBuf,
+    settings_file: PathBuf,
+    /// The dispatcher writes its addresses to this file.
+    addresses_file: PathBuf,
     listen: Mutex<SocketAddr>,
     control: Mutex<SocketAddr>,
     running: AtomicBool,
@@ -223,11 +224,10 @@
     processes: Vec<Arc<Process>>,
     record: Mutex<(Vec<ClientAttempt>, Vec<HostNotice>, Vec<Kill>)>,
     conditions: Mutex<Conditions>,
-    /// How many clients are running.
-    clients: AtomicUsize,
+    running_clients: AtomicUsize,
     list_delay_ms: AtomicU64,
     /// The last version of the host list. It increases with each push, so that a late push does not undo a newer one.
-    version: AtomicU64,
+    list_version: AtomicU64,
     finished: AtomicBool,
 }
 
@@ -242,11 +242,11 @@
 /// Settings of one dispatcher of a run, with its index, name and seed filled in.
 fn settings_of(day: &Day, number: u32, stored_hosts: &Path) -> io::Result<Settings> {
     let mut value = serde_json::to_value(fleet::settings("day")).map_err(io::Error::other)?;
-    let own = day.settings.as_object().ok_or_else(|| other_error("/settings: an object is wanted"))?;
-    for (name, given) in own {
+    let overrides = day.settings.as_object().ok_or_else(|| other_error("/settings: an object is wanted"))?;
+    for (name, given) in overrides {
         match (value.get_mut(name), given) {
-            (Some(serde_json::Value::Object(there)), serde_json::Value::Object(given)) => {
-                there.extend(given.clone());
+            (Some(serde_json::Value::Object(defaults)), serde_json::Value::Object(given)) => {
+                defaults.extend(given.clone());
             }
             _ => value[name] = given.clone(),
         }
@@ -323,8 +323,8 @@
         processes.push(Process {
             name: own.name,
             child: Some(child),
-            settings: file("settings"),
-            addresses: file("addresses"),
+            settings_file: file("settings"),
+            addresses_file: file("addresses"),
             listen: Mutex::new(listen),
             control: Mutex::new(control),
             running: AtomicBool::new(true),
@@ -337,9 +337,9 @@
         processes: processes.into_iter().map(Arc::new).collect(),
         record: Mutex::default(),
         conditions: Mutex::new(Conditions { rate_factor: 1.0, new_text_share: 0.0, deadline_share: 1.0 }),
-        clients: AtomicUsize::new(0),
+        running_clients: AtomicUsize::new(0),
         list_delay_ms: AtomicU64::new(day.list_late_ms),
-        version: AtomicU64::new(1),
+        list_version: AtomicU64::new(1),
         finished: AtomicBool::new(false),
         fleet,
     });
@@ -454,7 +454,7 @@
         let delay_ms = playback.list_delay_ms.load(Ordering::Relaxed);
         match action {
             Action::List(mut list) => {
-                list.version = playback.version.fetch_add(1, Ordering::SeqCst) + 1;
+                list.version = playback.list_version.fetch_add(1, Ordering::SeqCst) + 1;
                 playback.processes.iter().for_each(|process| push_list(playback, process, &list));
             }
             Action::Begin(i) => match &playback.day.events[i].incident {
@@ -526,7 +526,7 @@
     let _ = clients.join();
     // Waits for clients that are still running, then for states that must be released by the end.
     let until = Instant::now() + Duration::from_secs(30);
-    while playback.clients.load(Ordering::SeqCst) > 0 && Instant::now() < until {
+    while playback.running_clients.load(Ordering::SeqCst) > 0 && Instant::now() < until {
         thread::sleep(Duration::from_millis(20));
     }
     thread::sleep(Duration::from_millis(1500));
@@ -535,21 +535,21 @@
 
 /// Gives a host the combination of all its current faults; entries are host and event.
 fn apply_faults(playback: &Playback, host: usize, active_faults: &[(usize, usize)]) {
-    let mut all = HostFaults::default();
+    let mut combined = HostFaults::default();
     for (_, event) in active_faults.iter().filter(|(own, _)| *own == host) {
         if let Incident::Faults { faults, .. } = &playback.day.events[*event].incident {
-            all.error_share = all.error_share.max(faults.error_share);
-            all.hang |= faults.hang;
-            all.slowdown *= faults.slowdown;
-            all.connect_delay_ms = all.connect_delay_ms.max(faults.connect_delay_ms);
-            all.link_slowdown *= faults.link_slowdown;
-            all.draining |= faults.draining;
-            all.ageing |= faults.ageing;
-            all.unanswered_model = faults.unanswered_model.clone().or(all.unanswered_model);
-            all.mid_stream = faults.mid_stream.or(all.mid_stream);
+            combined.error_share = combined.error_share.max(faults.error_share);
+            combined.hang |= faults.hang;
+            combined.slowdown *= faults.slowdown;
+            combined.connect_delay_ms = combined.connect_delay_ms.max(faults.connect_delay_ms);
+            combined.link_slowdown *= faults.link_slowdown;
+            combined.draining |= faults.draining;
+            combined.ageing |= faults.ageing;
+            combined.unanswered_model = faults.unanswered_model.clone().or(combined.unanswered_model);
+            combined.mid_stream = faults.mid_stream.or(combined.mid_stream);
         }
     }
-    playback.fleet.hosts[host].set_faults(all);
+    playback.fleet.hosts[host].set_faults(combined);
 }
 
 /// A partial list that gives these hosts this status.
@@ -589,7 +589,7 @@
         let standing = if host.is_up() { HostStanding::Running } else { HostStanding::Gone };
         Fleet::line(host, standing, host.started_unix_ms())
     };
-    let version = playback.version.fetch_add(1, Ordering::SeqCst) + 1;
+    let version = playback.list_version.fetch_add(1, Ordering::SeqCst) + 1;
     HostList { version, whole: true, hosts: playback.fleet.hosts.iter().map(line).collect() }
 }
 
@@ -608,7 +608,7 @@
 
 fn restart(playback: &Arc<Playback>, program: &Path, number: usize) -> io::Result<Child> {
     let process = &playback.processes[number];
-    let (child, listen, control) = Process::start(program, &process.settings, &process.addresses)?;
+    let (child, listen, control) = Process::start(program, &process.settings_file, &process.addresses_file)?;
     *lock(&process.listen) = listen;
     *lock(&process.control) = control;
     process.running.store(true, Ordering::SeqCst);
@@ -649,25 +649,26 @@
 /// Starts clients in an open loop: each task starts at its time, whether or not earlier ones have ended.
 fn generate_load(playback: &Arc<Playback>, began: Instant) {
     let mut rng = Pcg32::seed_from_u64(playback.day.seed);
-    let mut due: Vec<f64> = playback.day.load.iter().map(|load| 1.0 / load.per_second.max(1e-6)).collect();
+    // Seconds from the start to the next task of each load.
+    let mut due_s: Vec<f64> = playback.day.load.iter().map(|load| 1.0 / load.per_second.max(1e-6)).collect();
     let mut task = 0;
     while !playback.finished.load(Ordering::SeqCst) {
-        let next = (0..due.len()).min_by(|a, b| due[*a].total_cmp(&due[*b]));
-        let Some(at) = next.filter(|at| due[*at] < playback.day.seconds) else { return };
-        let load = &playback.day.load[at];
-        let wait = Duration::from_secs_f64(due[at]).saturating_sub(began.elapsed());
+        let next = (0..due_s.len()).min_by(|a, b| due_s[*a].total_cmp(&due_s[*b]));
+        let Some(index) = next.filter(|index| due_s[*index] < playback.day.seconds) else { return };
+        let load = &playback.day.load[index];
+        let wait = Duration::from_secs_f64(due_s[index]).saturating_sub(began.elapsed());
         tulipstall_net::sleep(wait);
         let conditions = *lock(&playback.conditions);
         // Exponential gaps model the arrivals of many independent clients.
         let gap: f64 = -(1.0 - rng.random::<f64>()).ln();
-        due[at] += gap / (load.per_second * conditions.rate_factor).max(1e-6);
+        due_s[index] += gap / (load.per_second * conditions.rate_factor).max(1e-6);
         let plan = TaskPlan::new(load, &conditions, task, &mut rng);
         task += 1;
-        playback.clients.fetch_add(1, Ordering::SeqCst);
+        playback.running_clients.fetch_add(1, Ordering::SeqCst);
         let playback = playback.clone();
         spawn(move || {
             run_client(&playback, &plan);
-            playback.clients.fetch_sub(1, Ordering::SeqCst);
+            playback.running_clients.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
@@ -676,12 +677,13 @@
 struct TaskPlan {
     task: u32,
     offering: usize,
-    shared: String,
-    user: String,
-    tokens: u32,
+    shared_text: String,
+    user_text: String,
+    answer_tokens: u32,
     stream: bool,
     leave_after: Option<Duration>,
     retries: u32,
+    /// Index of the dispatcher of the first attempt, modulo their number.
     dispatcher: usize,
     deadline_share: f64,
     unmarked: bool,
@@ -698,15 +700,15 @@
             format!("ตารางเรือ {text} ")
         };
         let bytes = between(load.prompt_bytes, rng) as usize;
-        let tokens = between(load.answer_tokens, rng);
+        let answer_tokens = between(load.answer_tokens, rng);
         let filler = format!("passenger {} asks about a ferry and a refund, please; ", rng.random::<u32>());
         TaskPlan {
             task,
             offering: load.offering,
-            shared: shared.repeat((load.shared_bytes as usize / shared.len()).max(1)),
-            user: filler.repeat(bytes / filler.len() + 1),
+            shared_text: shared.repeat((load.shared_bytes as usize / shared.len()).max(1)),
+            user_text: filler.repeat(bytes / filler.len() + 1),
             unmarked: load.unmarked,
-            tokens,
+            answer_tokens,
             stream: rng.random::<f64>() < load.streamed_share,
             leave_after: (rng.random::<f64>() < load.leave_share)
                 .then(|| Duration::from_millis(rng.random_range(0..=load.leave_within_ms))),
@@ -724,7 +726,7 @@
         let process = &playback.processes[(plan.dispatcher + number as usize) % playback.processes.len()];
         let tag = format!("{}.{number}", plan.task);
         let deadline = Duration::from_secs_f64(offering.hard_stop_ms as f64 * plan.deadline_share / 1e3);
-        let user = format!("{} [[len:{}]] [[task:{tag}]]", plan.user, plan.tokens);
+        let user = format!("{} [[len:{}]] [[task:{tag}]]", plan.user_text, plan.answer_tokens);
         let mut request = Request::new(&offering.name, &user)
             .with("x-stainless-timeout", deadline.as_secs_f64())
             .with("x-stainless-retry-count", number);
@@ -732,9 +734,9 @@
             request = request.with("idempotency-key", format!("mark-{}", plan.task));
         }
         if plan.unmarked {
-            request.user = format!("{}{}", plan.shared, request.user);
+            request.user = format!("{}{}", plan.shared_text, request.user);
         } else {
-            request.system = plan.shared.clone();
+            request.system = plan.shared_text.clone();
         }
         request.stream = plan.stream;
         request.most_tokens = offering.most_tokens.min(1024);
@@ -749,7 +751,7 @@
         let listen = *lock(&process.listen);
         let response = client::send_request(listen, &request, options);
         let ended = playback.fleet.log.now();
-        let done = ClientAttempt {
+        let attempt = ClientAttempt {
             task: plan.task,
             number,
             dispatcher: process.name.clone(),
@@ -762,20 +764,20 @@
             prompt_tokens: response.usage[0] + response.usage[1],
             cached_tokens: response.usage[1],
             retry_advised: response.should_retry == Some(true),
-            text_correct: is_correct(&request, &response, plan.tokens),
+            text_correct: is_correct(&request, &response, plan.answer_tokens),
             trailing_bytes: response.trailing_bytes,
             answer: response.answer.clone(),
         };
-        let (answer, retry) = (done.answer.clone(), response.should_retry);
-        lock(&playback.record).0.push(done);
-        let again = match answer {
+        let (answer, retry) = (attempt.answer.clone(), response.should_retry);
+        lock(&playback.record).0.push(attempt);
+        let may_retry = match answer {
             Answer::Bounced | Answer::Unreachable => true,
             Answer::BrokenOff => retry == Some(true),
             // Lost together with its dispatcher: only tasks that may run twice are repeated.
             Answer::Cut | Answer::Late => offering.effect == settings::Effect::Replayable,
             _ => false,
         };
-        if !again {
+        if !may_retry {
             return;
         }
         let pause = response.retry_after.unwrap_or(Duration::from_millis(100)).min(Duration::from_secs(1));
@@ -825,23 +827,23 @@
         };
         let of = |name: &str| counted.get(name).copied().unwrap_or(0);
         let (delivered, bounced) = (own(&Answer::Delivered), own(&Answer::Bounced));
-        let (broken, away) = (own(&Answer::BrokenOff), own(&Answer::Left));
+        let (broken_off, left) = (own(&Answer::BrokenOff), own(&Answer::Left));
         let all: u64 = counted.values().sum();
         // A client may disconnect while its answer is on the way: it then counts as left, and the dispatcher counts it as
         // delivered, bounced or broken off. Or it disconnects before its request is complete: the dispatcher then does
         // not count it.
-        let fits = of("delivered") >= delivered
+        let consistent = of("delivered") >= delivered
             && of("bounced") >= bounced
-            && of("broken off") >= broken
-            && all >= delivered + bounced + broken
-            && all <= delivered + bounced + broken + away;
+            && of("broken off") >= broken_off
+            && all >= delivered + bounced + broken_off
+            && all <= delivered + bounced + broken_off + left;
         let found = format!(
-            "{} counted {counted:?}, clients {delivered} delivered {bounced} bounced {broken} broken off {away} left",
+            "{} counted {counted:?}, clients {delivered} delivered {bounced} bounced {broken_off} broken off {left} left",
             process.name
         );
         checks.push((
             format!("{} and its clients count the same", process.name),
-            if fits { Ok(()) } else { Err(found) },
+            if consistent { Ok(()) } else { Err(found) },
         ));
     }
     (checks, writer_changes)
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -62,11 +62,13 @@
 
 /// The result of one request.
 struct RequestResult {
-    first: Option<Duration>,
+    /// Time from the scheduled time to the first token.
+    first_token: Option<Duration>,
     tokens: u64,
     answer: String,
 }
 
+/// Generates the load and waits for all answers.
 pub fn run(load: &Load) -> io::Result<Report> {
     let report = Report {
         sent: 0,
@@ -78,9 +80,9 @@
         took: Duration::ZERO,
     };
     let report = Arc::new(Mutex::new(report));
-    let (owned, to) = (load.clone(), report.clone());
+    let (own_load, own_report) = (load.clone(), report.clone());
     let began = Instant::now();
-    let generator = spawn(move || generate(&owned, &to));
+    let generator = spawn(move || generate(&own_load, &own_report));
     generator.join().map_err(|_| io::Error::other("the load failed"))?;
     let mut report = Arc::try_unwrap(report)
         .map_err(|_| io::Error::other("a client is still running"))?
@@ -113,8 +115,8 @@
                 report
                     .send_delay_us
                     .saturating_record(sent.saturating_duration_since(due).as_micros() as u64);
-                if let Some(first) = result.first {
-                    report.first_token_us.saturating_record(first.as_micros() as u64);
+                if let Some(first_token) = result.first_token {
+                    report.first_token_us.saturating_record(first_token.as_micros() as u64);
                     report.total_us.saturating_record(total.as_micros() as u64);
                 }
                 *report.answers.entry(result.answer).or_default() += 1;
@@ -147,13 +149,13 @@
                 other => format!("{other:?}"),
             };
             RequestResult {
-                first: response.first_token.map(|first| first + late),
+                first_token: response.first_token.map(|first_token| first_token + late),
                 tokens: response.usage[2],
                 answer,
             }
         }
         Target::Host(_) => {
-            let mut result = RequestResult { first: None, tokens: 0, answer: "Cut".to_owned() };
+            let mut result = RequestResult { first_token: None, tokens: 0, answer: "Cut".to_owned() };
             send_to_host(load, number, due, &mut result);
             result
         }
@@ -184,7 +186,7 @@
         let ended = reply.body(&mut bytes, until).ok()?;
         reader.feed(&bytes, &mut events).ok()?;
         for event in events.drain(..).filter(|event| event.data != engine::END_OF_STREAM) {
-            result.first.get_or_insert_with(|| due.elapsed());
+            result.first_token.get_or_insert_with(|| due.elapsed());
             result.tokens += u64::from(!engine::piece(&event.data)?.text.is_empty());
         }
         if ended {
@@ -222,10 +224,10 @@
             ("sent late by", &self.send_delay_us),
         ] {
             let at = |part: f64| times.value_at_quantile(part) as f64 / 1e3;
-            let figures = [at(0.5), at(0.9), at(0.99), at(0.999), times.max() as f64 / 1e3];
+            let quantiles_ms = [at(0.5), at(0.9), at(0.99), at(0.999), times.max() as f64 / 1e3];
             write!(out, "{name:24}")?;
-            for figure in figures {
-                write!(out, "{figure:>10.2}")?;
+            for quantile_ms in quantiles_ms {
+                write!(out, "{quantile_ms:>10.2}")?;
             }
             writeln!(out)?;
         }
--- a/crates/rig/src/vary.rs
+++ b/crates/rig/src/vary.rs
@@ -50,9 +50,9 @@
     pub broken_off: usize,
     pub prompt_tokens: u64,
     pub cached_tokens: u64,
-    /// Percentiles of the time to the first token, in microseconds.
-    pub first_p50: u64,
-    pub first_p99: u64,
+    /// Percentiles of the time to the first token.
+    pub first_token_p50_us: u64,
+    pub first_token_p99_us: u64,
 }
 
 /// Groups attempts by their start into windows of `span_us` microseconds.
@@ -77,7 +77,7 @@
     for (window, firsts) in windows.iter_mut().zip(&mut firsts) {
         firsts.sort_unstable();
         let at = |part: usize| firsts.get(firsts.len().saturating_sub(1) * part / 100).copied().unwrap_or(0);
-        (window.first_p50, window.first_p99) = (at(50), at(99));
+        (window.first_token_p50_us, window.first_token_p99_us) = (at(50), at(99));
     }
     windows
 }
@@ -118,7 +118,7 @@
             "p99 ms"
         )?;
         for (i, window) in windows(&outcome.record.attempts, span_ms * 1000).iter().enumerate() {
-            let part = window.cached_tokens as f64 / window.prompt_tokens.max(1) as f64;
+            let cached_share = window.cached_tokens as f64 / window.prompt_tokens.max(1) as f64;
             writeln!(
                 out,
                 "{:>7.1}{:>7}{:>11}{:>9}{:>12}{:>7.1}%{:>12}{:>10.1}{:>10.1}",
@@ -127,10 +127,10 @@
                 window.delivered,
                 window.bounced,
                 window.broken_off,
-                part * 100.0,
+                cached_share * 100.0,
                 window.prompt_tokens - window.cached_tokens.min(window.prompt_tokens),
-                window.first_p50 as f64 / 1e3,
-                window.first_p99 as f64 / 1e3,
+                window.first_token_p50_us as f64 / 1e3,
+                window.first_token_p99_us as f64 / 1e3,
             )?;
         }
     }
--- a/crates/rig/tests/losses.rs
+++ b/crates/rig/tests/losses.rs
@@ -68,7 +68,12 @@
     };
     let mut by_task: BTreeMap<usize, Vec<&HostEvent>> = BTreeMap::new();
     for line in seen.iter().filter(|line| matches!(line.kind, HostEventKind::Ran | HostEventKind::Repeat)) {
-        let task = line.tag.split('.').next().and_then(|task| task.parse().ok()).expect("a task's mark");
+        let task = line
+            .tag
+            .split('.')
+            .next()
+            .and_then(|task| task.parse().ok())
+            .expect("a tag without a task number");
         by_task.entry(task).or_default().push(line);
     }
     let mut repeats = 0;
@@ -145,8 +150,11 @@
         println!("referenced: {} of {} whole", whole_of(&referenced), referenced.len());
         // Three of the four or five writers of a zone may be lost at once; their streams then find no other writer of the
         // zone in time.
-        let least_referenced = if lost < 4 { 0.9 } else { 0.6 };
-        assert!(whole_of(&referenced) as f64 >= least_referenced * referenced.len() as f64, "{lost} lost");
+        let min_referenced_share = if lost < 4 { 0.9 } else { 0.6 };
+        assert!(
+            whole_of(&referenced) as f64 >= min_referenced_share * referenced.len() as f64,
+            "{lost} lost"
+        );
         let repeats = check_effects(&fleet.log.events(), &fleet);
         assert!(lost == 0 || repeats >= 5 * lost, "{repeats} repeats: nothing was tried");
         let metrics = dispatcher.metrics();
--- a/crates/rig/tests/paths.rs
+++ b/crates/rig/tests/paths.rs
@@ -295,9 +295,9 @@
         ));
     };
     let fail: Peer = |s| drop(s.write_all(b"HTTP/1.1 500 x\r\ncontent-length: 0\r\n\r\n"));
-    let unmarked: Peer = |s| drop(s.write_all(b"HTTP/1.1 429 x\r\ncontent-length: 0\r\n\r\n"));
+    let no_reason: Peer = |s| drop(s.write_all(b"HTTP/1.1 429 x\r\ncontent-length: 0\r\n\r\n"));
     let close: Peer = |_| {};
-    let rubbish: Peer = |s| drop(s.write_all(b"\x00\x01\x02 what is this\r\n\r\n"));
+    let malformed: Peer = |s| drop(s.write_all(b"\x00\x01\x02 what is this\r\n\r\n"));
     let half: Peer = |s| drop(s.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"));
     let no_data: Peer = |s| {
         drop(s.write_all(
@@ -309,10 +309,10 @@
         ("refused", refuse, "chat-reply", Answer::Delivered),
         ("failed", fail, "seat-change", Answer::BrokenOff),
         ("failed", fail, "chat-reply", Answer::Delivered),
-        ("refused without a mark", unmarked, "seat-change", Answer::BrokenOff),
+        ("refused without a reason", no_reason, "seat-change", Answer::BrokenOff),
         ("closed", close, "seat-change", Answer::BrokenOff),
         ("closed", close, "chat-reply", Answer::Delivered),
-        ("rubbish", rubbish, "seat-change", Answer::BrokenOff),
+        ("malformed", malformed, "seat-change", Answer::BrokenOff),
         ("half an answer", half, "seat-change", Answer::BrokenOff),
         ("no data", no_data, "seat-change", Answer::BrokenOff),
         ("no data", no_data, "chat-reply", Answer::Delivered),
@@ -330,7 +330,7 @@
             let dispatcher = dispatcher.clone();
             thread::spawn(move || send_to(&dispatcher, request(offering, "x"), ClientOptions::default()))
         };
-        wait_for("the peer to be asked", || requests.load(Ordering::SeqCst) > 0);
+        wait_for("a request at the peer", || requests.load(Ordering::SeqCst) > 0);
         dispatcher.apply_host_list(&HostList {
             version: 2,
             whole: false,
@@ -339,12 +339,12 @@
         let response = client.join().expect("a client");
         assert_eq!(response.answer, wanted, "{what} {offering}");
         if wanted == Answer::BrokenOff {
-            assert_eq!(requests.load(Ordering::SeqCst), 1, "{what} {offering}: asked once");
+            assert_eq!(requests.load(Ordering::SeqCst), 1, "{what} {offering}: sent more than once");
         }
         let lines = fleet.log.events();
         let ran = count(&lines, &HostEventKind::Ran);
         assert_eq!(ran, usize::from(wanted == Answer::Delivered), "{what} {offering}");
-        wait_for("states are taken or let go", || {
+        wait_for("states to be taken or released", || {
             let lines = fleet.log.events();
             let made = lines.iter().filter(|l| matches!(l.kind, HostEventKind::StateMade(_))).count();
             let gone = lines
@@ -685,11 +685,11 @@
         let leave_after = (task % 17 == 0).then(|| ms((task % 40) as u64));
         let response =
             send_request(address, &api_request, ClientOptions { leave_after, ..ClientOptions::default() });
-        let right = match response.answer {
+        let text_correct = match response.answer {
             Answer::Delivered => response.text == full_answer(&api_request, 12),
             _ => full_answer(&api_request, 12).starts_with(&response.text),
         };
-        (task, response.answer, right && response.trailing_bytes == 0)
+        (task, response.answer, text_correct && response.trailing_bytes == 0)
     });
     let active_faults = [
         (2, StreamFault::Reset),
@@ -719,7 +719,7 @@
         })
         .collect();
     assert!(other.is_empty() && all.len() == TASKS, "a gap: {other:?}");
-    assert!(all.iter().all(|(_, _, right)| *right), "a wrong text, or bytes after the end");
+    assert!(all.iter().all(|(_, _, correct)| *correct), "a wrong text, or bytes after the end");
     assert!(broken > 0 && left > 0, "{broken} broken off, {left} left: nothing was tried");
     // The dispatcher's counts. A client that disconnects before its request is complete is not counted.
     wait_for("all tasks to end", || {
@@ -904,11 +904,11 @@
         let dispatcher = dispatcher.clone();
         thread::spawn(move || send_to(&dispatcher, request("chat-reply", "last"), ClientOptions::default()))
     };
-    wait_for("the peer to be asked", || requests.load(Ordering::SeqCst) == 25);
+    wait_for("a request at the peer", || requests.load(Ordering::SeqCst) == 25);
     dispatcher.apply_host_list(&HostList { version: 2, whole: false, ..fleet.list() });
     let response = client.join().expect("a client");
     assert_eq!((response.answer, response.text), (Answer::Delivered, "a".repeat(17)));
-    assert!(events_of(&fleet.log.events(), "last").is_empty(), "another was asked");
+    assert!(events_of(&fleet.log.events(), "last").is_empty(), "the stream moved to the other host");
 }
 
 /// Half of the writers lose each answer at its fifth token: the prompt tokens that are read again stay within the budget
@@ -1021,9 +1021,9 @@
     let row =
         about["hosts"].as_array().expect("rows").iter().find(|row| row["host"] == holder.as_str()).cloned();
     assert!(row.is_some_and(|row| row["tokens"].as_u64() > Some(400) && row["belief"] == 1.0), "{about}");
-    let again = fleet.hosts.iter().find(|host| host.name == holder).expect("the holder");
+    let restarted = fleet.hosts.iter().find(|host| host.name == holder).expect("the holder");
     let now = tulipstall_dispatcher::now_unix_ms();
-    let line = Fleet::line(again, HostStanding::Running, Some(now));
+    let line = Fleet::line(restarted, HostStanding::Running, Some(now));
     dispatcher.apply_host_list(&HostList { version: 2, whole: false, hosts: vec![line] });
     wait_for("the list", || explain("a").is_empty());
 }
