--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -210,6 +210,7 @@
     inner: Arc<Inner>,
 }
 
+/// State that the clones of a [`Link`] share.
 struct Inner {
     stream: Arc<PolledSocket<TcpStream>>,
     /// Shut by a holder or by an expired deadline: waits end at once.
@@ -514,13 +515,13 @@
         self.take_idle_if(|_| true).map(|(link, _)| link)
     }
 
-    /// Takes the most recently used idle connection whose idle time `good` accepts, and returns it with that time.
-    pub fn take_idle_if(&self, good: impl Fn(Duration) -> bool) -> Option<(Link, Duration)> {
+    /// Takes the most recently used idle connection whose idle time `is_acceptable` admits, and returns it with that time.
+    pub fn take_idle_if(&self, is_acceptable: impl Fn(Duration) -> bool) -> Option<(Link, Duration)> {
         let now = Instant::now();
         loop {
             let (link, since) = {
                 let mut idle = self.idle.lock().ok()?;
-                let index = idle.iter().rposition(|(_, since)| good(now.duration_since(*since)))?;
+                let index = idle.iter().rposition(|(_, since)| is_acceptable(now.duration_since(*since)))?;
                 idle.remove(index)
             };
             let idle_time = now.duration_since(since);
--- a/crates/net/src/tests.rs
+++ b/crates/net/src/tests.rs
@@ -76,7 +76,7 @@
 /// second evaluation the read would wait for the old deadline.
 #[test]
 fn a_deadline_brought_forward_while_it_is_set_holds() {
-    let (link, _there) = connected_link();
+    let (link, _peer) = connected_link();
     watch::add(&link.inner);
     let (start, evaluations) = (Instant::now(), AtomicU32::new(0));
     let (near_deadline, far_deadline) = (start + ms(100), start + ms(5000));
--- a/crates/net/src/watch.rs
+++ b/crates/net/src/watch.rs
@@ -22,18 +22,19 @@
 /// With a single worker no other worker can be between those instructions, so that two polls are enough.
 const DROP_DELAY_POLLS_ONE_WORKER: u32 = 2;
 
-/// The number of polls in force, by the number of workers.
-static DROP_DELAY: AtomicU32 = AtomicU32::new(DROP_DELAY_POLLS);
+/// The delay in force, as set for the number of workers.
+static CURRENT_DROP_DELAY_POLLS: AtomicU32 = AtomicU32::new(DROP_DELAY_POLLS);
 
 /// Sets the drop delay for this number of worker threads.
 pub fn set_drop_delay(workers: usize) {
-    DROP_DELAY
+    CURRENT_DROP_DELAY_POLLS
         .store(if workers == 1 { DROP_DELAY_POLLS_ONE_WORKER } else { DROP_DELAY_POLLS }, Ordering::Relaxed);
 }
 
 struct Watcher {
     start: Instant,
-    links: Mutex<Vec<Weak<Inner>>>,
+    /// Links added since the last poll.
+    new_links: Mutex<Vec<Weak<Inner>>>,
     deferred: Mutex<Vec<Deferred>>,
 }
 
@@ -44,7 +45,7 @@
     static THREAD: OnceLock<bool> = OnceLock::new();
     let watcher = WATCHER.get_or_init(|| Watcher {
         start: Instant::now(),
-        links: Mutex::default(),
+        new_links: Mutex::default(),
         deferred: Mutex::default(),
     });
     THREAD.get_or_init(|| {
@@ -60,7 +61,7 @@
 
 /// Registers a link, whose deadlines hold from the next poll on.
 pub fn add(link: &Arc<Inner>) {
-    if let Ok(mut links) = watcher().links.lock() {
+    if let Ok(mut links) = watcher().new_links.lock() {
         links.push(Arc::downgrade(link));
     }
 }
@@ -75,18 +76,18 @@
 
 fn poll_links(watcher: &Watcher) {
     let mut all_links: Vec<Weak<Inner>> = Vec::new();
-    let (mut polls, mut previous) = (0, Vec::new());
+    let (mut polls, mut deferred_before) = (0, Vec::new());
     loop {
         thread::sleep(POLL_INTERVAL);
         polls += 1;
-        if polls >= DROP_DELAY.load(Ordering::Relaxed) {
+        if polls >= CURRENT_DROP_DELAY_POLLS.load(Ordering::Relaxed) {
             polls = 0;
             // Dropped with no lock held: a dropped value may call `defer_drop` itself.
             let deferred = watcher.deferred.lock().map(|mut deferred| std::mem::take(&mut *deferred));
-            drop(std::mem::replace(&mut previous, deferred.unwrap_or_default()));
+            drop(std::mem::replace(&mut deferred_before, deferred.unwrap_or_default()));
         }
         // The lock is held only while new links are moved over.
-        if let Ok(mut new_links) = watcher.links.lock() {
+        if let Ok(mut new_links) = watcher.new_links.lock() {
             all_links.append(&mut new_links);
         }
         let now = deadline_micros(Instant::now());
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -25,7 +25,7 @@
 const SESSION_HEADER: &str = "x-entity";
 const LABELS_HEADER: &str = "x-labels";
 const RESENT_HEADER: &str = "x-resent";
-const HINT_HEADER: &str = "x-estimate";
+const EXPECTED_DURATION_HEADER: &str = "x-estimate";
 
 /// The platform's limit for a body.
 pub const MAX_BODY_BYTES: usize = 256 << 10;
@@ -50,6 +50,7 @@
 /// The offerings and customers, in the order of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
+    /// Name and deadline of each.
     offerings: Vec<(String, Duration)>,
     customers: Vec<String>,
 }
@@ -81,7 +82,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     pub id: String,
-    /// Forwarded unchanged with every attempt.
+    /// Idempotency key, forwarded unchanged with every attempt.
     pub key: Option<String>,
     pub request: TaskRequest,
 }
@@ -161,7 +162,7 @@
     // A token takes at least one byte, so that no prompt has more tokens than the largest body has bytes.
     let capped = |count: u64| count.min(MAX_BODY_BYTES as u64) as u32;
     let deadline = catalog.offerings[offering].1;
-    let hint = single_header(head, HINT_HEADER)?
+    let expected_duration = single_header(head, EXPECTED_DURATION_HEADER)?
         .and_then(parse_number)
         .filter(|us| *us > 0)
         .map(Duration::from_micros);
@@ -171,7 +172,7 @@
         session: bounded_name(single_header(head, SESSION_HEADER)?)?,
         shared: bounded_name(shared)?,
         time_left: Duration::from_millis(time_left_ms).min(deadline),
-        expected_duration: hint,
+        expected_duration,
         prompt_tokens: capped(token_counts[0]),
         shared_tokens: capped(token_counts[1]),
         max_answer_tokens: capped(token_counts[2]),
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -19,10 +19,12 @@
 /// A client's request as it is forwarded to hosts.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardedCall {
+    /// Path and query.
     pub target: String,
     /// Value of the `Host` header.
     pub host: String,
     pub id: String,
+    /// Idempotency key, if the client sent one.
     pub key: Option<String>,
 }
 
@@ -59,6 +61,7 @@
     Stream,
     /// The prompt has been read; the body gives the number of cached tokens.
     Read,
+    /// The attempt has ended with this outcome.
     Ended(Outcome),
 }
 
--- a/crates/platform/src/registry.rs
+++ b/crates/platform/src/registry.rs
@@ -21,7 +21,7 @@
     pub watch_slack: Duration,
     /// Limit for the start of an answer to a request without a wait, the time to connect included.
     pub answer_start: Duration,
-    /// Limit for the rest of an answer that has begun: agents write it at once.
+    /// Limit for the rest of an answer that has begun: it is written at once.
     pub answer_rest: Duration,
     /// Pause between two tries: within the 200 ms for which a watch may be interrupted.
     pub retry_pause: Duration,
@@ -35,7 +35,7 @@
 
 /// How long a change after the last good answer may stay unread while the registry can be reached: after that
 /// the platform counts the dispatcher as informed of it.
-pub const NEWS_DEADLINE: Duration = Duration::from_secs(6);
+pub const CHANGE_READ_DEADLINE: Duration = Duration::from_secs(6);
 
 /// For how long answers with an older version than one seen before are ignored: they come from a registry
 /// replica that lags behind, or from a registry that has restarted, and only the second continues to send
@@ -43,10 +43,10 @@
 pub const OLDER_VERSIONS_IGNORED_FOR: Duration = Duration::from_millis(800);
 
 impl RegistryTimeouts {
-    /// In push mode an agent on the same machine answers at once and at no cost, or is silent until the
-    /// registry is back; what it then has counts as known to the dispatcher at once. So it is asked again
-    /// well within the time for which a draining host may still be used. In on-request mode each request is
-    /// expensive and may take long.
+    /// In push mode an agent on the same machine answers for the registry, at once and at no cost, or not at
+    /// all until the registry is back. From then on the dispatcher counts as informed of all changes that the
+    /// agent has. So it is asked again well within the time for which a draining host may still be used. In
+    /// on-request mode each request is expensive and may take long.
     pub fn from_config(config: &Config) -> RegistryTimeouts {
         let ms = Duration::from_millis;
         if config.text("registry_mode") == Some("on_request") {
@@ -171,7 +171,7 @@
 /// The request for the whole list, or for changes after a version within a wait.
 pub fn list_request(host: SocketAddr, newer_than: Option<(u64, Duration)>) -> String {
     let query =
-        newer_than.map_or(String::new(), |(seq, hold)| format!("?index={seq}&wait={}", hold.as_millis()));
+        newer_than.map_or(String::new(), |(seq, wait)| format!("?index={seq}&wait={}", wait.as_millis()));
     format!("GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {host}\r\n\r\n")
 }
 
--- a/crates/platform/src/registry/tests.rs
+++ b/crates/platform/src/registry/tests.rs
@@ -36,7 +36,7 @@
 /// After a good answer, whatever goes wrong once with each of a watch, its successor and the request after
 /// it: the list is refreshed before a newer change counts as known, with the grace to spare.
 #[test]
-fn no_chain_of_failed_requests_outlasts_the_news_deadline() {
+fn no_chain_of_failed_requests_outlasts_the_change_read_deadline() {
     let ms = Duration::from_millis;
     for (mode, grace_us) in
         [("pushed", 50_000.0), ("pushed", 250_000.0), ("pushed", 2e6), ("on_request", 250_000.0)]
@@ -48,23 +48,23 @@
         let request_time = timeouts.retry_pause + timeouts.answer_start;
         // A new watch that is not answered; changes to it are returned like the answer to a request without a
         // wait.
-        let unheard = request_time + timeouts.resume_wait.unwrap_or_default();
-        let silent = timeouts.watch_wait + timeouts.watch_slack;
+        let unanswered_watch = request_time + timeouts.resume_wait.unwrap_or_default();
+        let silent_watch = timeouts.watch_wait + timeouts.watch_slack;
         for (name, chain) in [
             (
                 "a silent watch, a silent request, a good one",
-                silent + unheard + request_time + timeouts.answer_rest,
+                silent_watch + unanswered_watch + request_time + timeouts.answer_rest,
             ),
             (
                 "a watch that trickles, a good request",
-                silent + timeouts.answer_rest + request_time + timeouts.answer_rest,
+                silent_watch + timeouts.answer_rest + request_time + timeouts.answer_rest,
             ),
             (
                 "a silent watch, then a restarted registry",
-                silent + request_time + OLDER_VERSIONS_IGNORED_FOR + request_time,
+                silent_watch + request_time + OLDER_VERSIONS_IGNORED_FOR + request_time,
             ),
         ] {
-            assert!(chain < NEWS_DEADLINE - ms(250), "{mode} {grace_us}: {name}: {chain:?}");
+            assert!(chain < CHANGE_READ_DEADLINE - ms(250), "{mode} {grace_us}: {name}: {chain:?}");
         }
         // While nothing changes, 350 dispatchers send fewer than 200 requests a second where requests are
         // expensive, otherwise 400.
--- a/crates/platform/src/release.rs
+++ b/crates/platform/src/release.rs
@@ -59,18 +59,18 @@
 
 /// The part of the release time that is left when the decisions request a release: one that takes longer is
 /// late.
-pub fn time_left_when_owed(release: Duration) -> Duration {
-    release * 3 / STEPS_PER_RELEASE
+pub fn time_left_when_owed(release_time: Duration) -> Duration {
+    release_time * 3 / STEPS_PER_RELEASE
 }
 
 /// How long one server may take to answer.
-pub fn call_timeout(release: Duration) -> Duration {
-    release * ANSWER_STEPS / STEPS_PER_RELEASE
+pub fn call_timeout(release_time: Duration) -> Duration {
+    release_time * ANSWER_STEPS / STEPS_PER_RELEASE
 }
 
 /// The wave that follows `before` waves; `None` means that the release is abandoned.
-pub fn wave(before: u32, release: Duration) -> Option<Wave> {
-    let step = release / STEPS_PER_RELEASE;
+pub fn wave(before: u32, release_time: Duration) -> Option<Wave> {
+    let step = release_time / STEPS_PER_RELEASE;
     match FIRST_WAVE_CALLS.get(before as usize) {
         Some(calls) => Some(Wave { calls: *calls, answer_wait: step }),
         None if before < MAX_WAVES => Some(Wave { calls: LATER_WAVE_CALLS, answer_wait: 5 * step }),
@@ -86,8 +86,8 @@
 
 /// Delay of the repeated release after a read that ended in silence: where the server was cut off, the read
 /// may still have been in transit when the first release arrived. Well within the release time.
-pub fn repeat_delay(release: Duration) -> Duration {
-    release / 3
+pub fn repeat_delay(release_time: Duration) -> Duration {
+    release_time / 3
 }
 
 /// The server to ask next: the holder if it is neither suspected nor tried; otherwise the first by fewest
--- a/crates/platform/src/release/tests.rs
+++ b/crates/platform/src/release/tests.rs
@@ -6,21 +6,26 @@
 
 #[test]
 fn the_next_server_shares_little_with_those_that_failed() {
-    let (here, there) = (server(0, true, false, false, 0), server(1, false, false, false, 0));
-    let (lost, tried) = (server(1, false, true, false, 0), server(1, false, true, false, 1));
+    let (own_zone, other_zone) = (server(0, true, false, false, 0), server(1, false, false, false, 0));
+    let (suspected, tried) = (server(1, false, true, false, 0), server(1, false, true, false, 1));
     for (name, servers, holder, asked) in [
-        ("who holds it", vec![here, there], Some(1), Some(1)),
-        ("who holds it does not answer", vec![there, lost, here], Some(1), Some(2)),
+        ("the holder", vec![own_zone, other_zone], Some(1), Some(1)),
+        ("the holder is suspected", vec![other_zone, suspected, own_zone], Some(1), Some(2)),
         ("nobody", vec![], None, None),
         ("the only one, again", vec![tried], Some(0), Some(0)),
         (
             "another zone than the one tried",
-            vec![tried, there, server(2, false, false, false, 0)],
+            vec![tried, other_zone, server(2, false, false, false, 0)],
             Some(0),
             Some(2),
         ),
-        ("the own zone is lost", vec![server(0, true, true, false, 1), here, there], Some(0), Some(2)),
-        ("an open connection", vec![here, server(0, true, false, true, 0)], None, Some(1)),
+        (
+            "the own zone is suspected",
+            vec![server(0, true, true, false, 1), own_zone, other_zone],
+            Some(0),
+            Some(2),
+        ),
+        ("an open connection", vec![own_zone, server(0, true, false, true, 0)], None, Some(1)),
         ("all were tried", vec![server(0, true, true, false, 2), tried], Some(0), Some(1)),
     ] {
         assert_eq!(next_server(&servers, holder, || 7), asked, "{name}");
@@ -44,11 +49,11 @@
 /// All first calls are sent, and one server has had its time to answer, within the time that the decisions
 /// leave; the number of waves is finite.
 #[test]
-fn waves_widen_and_end() {
-    let release = Duration::from_secs(1);
-    let left = time_left_when_owed(release);
-    assert!(call_timeout(release) <= left && repeat_delay(release) < release / 2);
-    let waves: Vec<Wave> = (0..).map_while(|before| wave(before, release)).collect();
+fn waves_are_sent_in_time_and_end() {
+    let release_time = Duration::from_secs(1);
+    let left = time_left_when_owed(release_time);
+    assert!(call_timeout(release_time) <= left && repeat_delay(release_time) < release_time / 2);
+    let waves: Vec<Wave> = (0..).map_while(|before| wave(before, release_time)).collect();
     assert!(waves.len() < 20);
     let mut begins = Duration::ZERO;
     let mut calls_in_time = 0;
@@ -57,17 +62,17 @@
         begins += wave.answer_wait;
     }
     assert!(calls_in_time >= 11, "{calls_in_time}");
-    assert!(begins > 3 * release && begins < 5 * release, "{begins:?}");
+    assert!(begins > 3 * release_time && begins < 5 * release_time, "{begins:?}");
 }
 
 /// Pooled connections may all have fallen silent: from the second wave on each wave has a call over a new
 /// connection, and one over a pooled one, as connecting may be what fails.
 #[test]
-fn each_wider_wave_has_a_new_and_a_kept_connection() {
-    let release = Duration::from_secs(1);
+fn each_later_wave_has_a_new_and_a_pooled_connection() {
+    let release_time = Duration::from_secs(1);
     assert!(!wants_new_connection(0, 0));
     for number in 1.. {
-        let Some(wave) = wave(number, release) else { break };
+        let Some(wave) = wave(number, release_time) else { break };
         let new = (0..wave.calls).filter(|call| wants_new_connection(number, *call)).count() as u32;
         assert!(new > 0 && new < wave.calls, "wave {number}: {new} of {}", wave.calls);
     }
