--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -102,10 +102,13 @@
         /// Address of the dispatcher.
         #[arg(long)]
         address: SocketAddr,
+        /// Offering to request, by its name.
         #[arg(long, default_value = "chat-reply")]
         model: String,
+        /// Requests sent per second.
         #[arg(long, default_value_t = 20.0)]
         per_second: f64,
+        /// Duration of the load in seconds.
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
         /// Tokens of each answer; simulated hosts produce exactly this many, real engines at most this many.
--- a/crates/node/src/attempt.rs
+++ b/crates/node/src/attempt.rs
@@ -87,6 +87,7 @@
 
 enum ShotResult {
     Ended(Outcome, ShotReport),
+    /// The reply, its events, the bytes not yet passed on, and whether the answer has ended.
     StreamBegun(Box<(Reply, EventSplitter, Vec<u8>, bool)>),
 }
 
@@ -115,7 +116,7 @@
 }
 
 impl Shared {
-    /// A pooled connection to a host that is worth using, and how long it was idle.
+    /// A pooled connection that is worth using, and how long it was idle.
     fn pooled_link(&self, endpoint: &Endpoint) -> Option<(Link, Duration)> {
         let now = self.now();
         endpoint.pool.take_idle_if(|idle| lock(&self.reuse_history).worth_using(now, idle))
@@ -311,8 +312,8 @@
         let first_event_until = self.deadline.min(Instant::now() + timeouts::ANSWER_START_TIMEOUT);
         loop {
             received.clear();
-            // The head of the answer has arrived, so the attempt has run: whatever happens to the rest, its
-            // state is gone.
+            // The head of the answer has arrived, so the attempt has run and any state that it fetched is used
+            // up, whatever happens to the rest.
             let ended = reply.body(&mut received, first_event_until).map_err(|_| Outcome::Spoilt)?;
             events.feed(&received, &mut bytes).map_err(|_| Outcome::Spoilt)?;
             if events.any_event {
--- a/crates/node/src/front.rs
+++ b/crates/node/src/front.rs
@@ -30,8 +30,8 @@
     max_body_bytes: MAX_BODY_BYTES,
 };
 
-/// Clients send one request at a time; unread requests far ahead would hide whether the client is still
-/// connected.
+/// The answer to a client that has sent too many requests ahead. Clients send one at a time, and unread
+/// requests would hide whether the client is still connected.
 const TOO_FAR_AHEAD: RequestError = RequestError::Malformed("too many requests at once");
 
 /// Time limit for a write to a client that does not read.
@@ -149,6 +149,7 @@
         *lock(&self.since)
     }
 
+    /// Ends the connection if `ends` holds for `busy`; returns whether it did.
     fn end_if(&self, ends: impl Fn(usize) -> bool) -> bool {
         let ended = |busy| ends(busy).then_some(ENDED_FLAG);
         let before = self.busy.fetch_update(Ordering::SeqCst, Ordering::SeqCst, ended);
@@ -279,8 +280,9 @@
     }
 }
 
+/// Starts accepting clients, and the periodic closing of idle connections to hosts.
 pub fn start(shared: Arc<Shared>, listener: Arc<Listener>) {
-    let housekeeping = shared.clone();
+    let housekeeping_shared = shared.clone();
     spawn(move || {
         let _accepting = AcceptingGuard(shared.clone());
         while !listener.is_closed() {
@@ -329,8 +331,8 @@
     spawn(move || {
         loop {
             tulipstall_net::sleep(Duration::from_secs(1));
-            housekeeping.hosts.trim_idle();
-            housekeeping.releases.report();
+            housekeeping_shared.hosts.trim_idle();
+            housekeeping_shared.releases.report();
         }
     });
 }
@@ -342,7 +344,7 @@
     let mut is_first = true;
     loop {
         match reader.poll() {
-            Err(refusal) => return Message::Rejected(refusal),
+            Err(error) => return Message::Rejected(error),
             Ok(RequestEvent::Request(head, body)) => {
                 (begun_at, is_first) = (None, false);
                 match client.begin_request() {
@@ -515,8 +517,8 @@
                     keep_open && !self.ends_for_stop()
                 }
                 Message::Continue => self.client.write(b"HTTP/1.1 100 Continue\r\n\r\n").is_ok(),
-                Message::Rejected(refusal) => {
-                    let _ = self.respond(refusal.status(), refusal.reason(), false, None);
+                Message::Rejected(error) => {
+                    let _ = self.respond(error.status(), error.reason(), false, None);
                     false
                 }
                 Message::Disconnected { timed_out } => {
--- a/crates/node/src/front/tests.rs
+++ b/crates/node/src/front/tests.rs
@@ -3,9 +3,9 @@
 
 fn client() -> (Arc<Client>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let there = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let link = Link::new(listener.accept().expect("a connection").0).expect("a link");
-    (Client::new(link), there)
+    (Client::new(link), peer)
 }
 
 /// A request that is read crosses the end of its connection as idle: exactly one of the two takes effect,
@@ -24,7 +24,7 @@
         &[BeginRequest(true), EndIfIdle(false), EndRequest, EndIfIdle(true), BeginRequest(false)],
         &[BeginRequest(true), BeginRequest(true), EndRequest, EndIfIdle(false), EndRequest, EndIfIdle(true)],
     ] {
-        let (client, _there) = client();
+        let (client, _peer) = client();
         for step in steps {
             match step {
                 BeginRequest(accepted) => {
--- a/crates/node/src/hosts.rs
+++ b/crates/node/src/hosts.rs
@@ -71,8 +71,8 @@
             self.pool.clear();
         }
         if status == HostStatus::Gone {
-            let by = Instant::now() + timeouts::silence_timeout(false, true);
-            lock(&self.streams).iter().for_each(|(_, link)| link.shorten_read_deadline(by));
+            let deadline = Instant::now() + timeouts::silence_timeout(false, true);
+            lock(&self.streams).iter().for_each(|(_, link)| link.shorten_read_deadline(deadline));
         }
     }
 
@@ -80,7 +80,7 @@
         self.pool.address()
     }
 
-    /// Records whether it has answered.
+    /// Records whether the last request showed that it can be reached.
     pub fn set_reachable(&self, reachable: bool) {
         self.suspected.store(!reachable, Ordering::Relaxed);
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Applies a list, whole or as changes.
+    /// Applies a list, the whole one if `complete`, else changes, and passes it on to the decisions.
     pub fn apply(&self, shared: &Shared, list: &List, complete: bool) {
         let (now, wall) = (shared.now(), self.wall_clock(shared.now()));
         let mut rows = Vec::with_capacity(list.hosts.len());
@@ -183,10 +183,10 @@
                 });
             }
             for line in &list.hosts {
-                let same = |endpoint: &Arc<Endpoint>| {
+                let is_same_process = |endpoint: &Arc<Endpoint>| {
                     endpoint.address() == line.dial && endpoint.started_ms == line.born_ms
                 };
-                let endpoint = match endpoints.get(&line.host).filter(|endpoint| same(endpoint)) {
+                let endpoint = match endpoints.get(&line.host).filter(|endpoint| is_same_process(endpoint)) {
                     Some(endpoint) => endpoint.clone(),
                     None => Arc::new(Endpoint {
                         name: line.host.clone(),
@@ -206,14 +206,14 @@
                 };
                 endpoint.set_status(line.status());
                 rows.push(line.to_row(endpoint.age.map(|age| age.at(now))));
-                let before = if line.status() == HostStatus::Gone {
+                let previous = if line.status() == HostStatus::Gone {
                     endpoints.remove(&line.host)
                 } else {
                     endpoints.insert(line.host.clone(), endpoint.clone())
                 };
                 // Another process than before: a request written to the old one's connections would be lost.
-                if let Some(before) = before.filter(|before| !Arc::ptr_eq(before, &endpoint)) {
-                    before.set_status(HostStatus::Gone);
+                if let Some(previous) = previous.filter(|previous| !Arc::ptr_eq(previous, &endpoint)) {
+                    previous.set_status(HostStatus::Gone);
                 }
             }
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -58,6 +58,7 @@
     hosts: Hosts,
     socket_budget: SocketBudget,
     connect_timeout: Duration,
+    /// Time within which a held state has to be released.
     release_time: Duration,
     /// Stopping: connections end with their answer.
     draining: AtomicBool,
@@ -80,6 +81,7 @@
     reuse_history: Mutex<ReuseHistory>,
     /// The registry's address and the connection to it.
     registry: Mutex<(SocketAddr, Option<Link>)>,
+    /// The registry has answered with a list since the start.
     list_received: AtomicBool,
 }
 
@@ -127,17 +129,17 @@
 }
 
 impl Node {
-    /// Listens and serves from here on.
+    /// Binds the listening address and starts to serve.
     pub fn start(start: &StartConfig) -> Result<Node, String> {
         let to_text = |error: io::Error| error.to_string();
         // One worker, as the platform assigns part of one core. Set up once per process.
         static COROUTINES: Once = Once::new();
         COROUTINES.call_once(|| tulipstall_net::configure_coroutines(1, COROUTINE_STACK_BYTES));
         let (sender, receiver) = may::sync::mpsc::channel();
-        let span = |name: &str, default: Duration| start.config.duration(name).unwrap_or(default);
+        let duration_setting = |name: &str, default: Duration| start.config.duration(name).unwrap_or(default);
         // Half of the time after which hosts close idle connections: beyond that a request could cross the
         // close.
-        let idle_timeout = span("allowed.keepalive_us", Duration::from_secs(10)) / 2;
+        let idle_timeout = duration_setting("allowed.keepalive_us", Duration::from_secs(10)) / 2;
         let catalog = Catalog::new(&start.config);
         // An attempt of a request may run for as long as its client would have waited.
         let id_retention = catalog.max_deadline().min(MAX_ID_RETENTION);
@@ -147,15 +149,15 @@
             owner_queue: OwnerQueue { sender, free_slots: Arc::new(Semphore::new(OWNER_QUEUE_CAPACITY)) },
             hosts: Hosts::new(idle_timeout, start.seed, start.config.text("zone")),
             socket_budget: SocketBudget::new(start.limits.sockets),
-            connect_timeout: span("allowed.connect_timeout_us", Duration::from_millis(250)),
-            release_time: span("service.release_us", Duration::from_secs(1)),
+            connect_timeout: duration_setting("allowed.connect_timeout_us", Duration::from_millis(250)),
+            release_time: duration_setting("service.release_us", Duration::from_secs(1)),
             draining: AtomicBool::new(false),
             rejecting: AtomicBool::new(false),
             accepting: AtomicBool::new(true),
             max_retry_after: start
                 .config
                 .flag("allowed.come_back")
-                .then(|| span("allowed.max_come_back_us", Duration::ZERO)),
+                .then(|| duration_setting("allowed.max_come_back_us", Duration::ZERO)),
             in_hand: AtomicUsize::new(0),
             unsettled: AtomicUsize::new(0),
             releases: metrics::ReleaseCounts::default(),
@@ -223,7 +225,7 @@
 /// Runs until SIGTERM or SIGINT, and then until all accepted requests are answered. On SIGHUP the
 /// configuration is read again on a thread of its own, so that neither signal waits for the other.
 pub fn run(config: PathBuf) -> Result<(), String> {
-    // First of all: unhandled, these signals end the process.
+    // Registered before anything else: unhandled, these signals end the process.
     let signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|error| error.to_string())?;
     let node = Arc::new(Node::start(&read_config(&config)?)?);
     let (reload, reload_requests) = mpsc::channel();
@@ -256,8 +258,8 @@
     }
 }
 
-/// For how long a replaced configuration is retried: as long as the old registry may be unreachable
-/// unnoticed.
+/// For how long reading a replaced configuration is retried: the time for which an unreachable old registry
+/// may go unnoticed.
 const RELOAD_WINDOW: Duration = Duration::from_millis(3500);
 
 /// Reads the configuration after each reload request, as the registry may have moved. The file may be half
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// Shortest interval between two log lines.
-const REPORT_EVERY: Duration = Duration::from_secs(10);
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Counts of the releases of what servers hold for requests, since the start.
 #[derive(Default)]
@@ -25,12 +25,12 @@
 }
 
 impl ReleaseCounts {
-    /// Writes the counts to the log if they have changed, at most once per [`REPORT_EVERY`].
+    /// Writes the counts to the log if they have changed, at most once per [`REPORT_INTERVAL`].
     pub fn report(&self) {
         let counts = [&self.owed, &self.unanswered, &self.done, &self.late, &self.abandoned];
         let counts = counts.map(|count| count.load(Relaxed));
         let mut reported = crate::lock(&self.reported);
-        let recent = reported.is_some_and(|(at, _)| at.elapsed() < REPORT_EVERY);
+        let recent = reported.is_some_and(|(at, _)| at.elapsed() < REPORT_INTERVAL);
         if recent || counts == reported.map_or([0; 5], |(_, before)| before) {
             return;
         }
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -25,6 +25,7 @@
     Input(Input),
 }
 
+/// Starts the thread that owns the decisions.
 pub fn start(
     shared: Arc<Shared>,
     messages: Receiver<OwnerMessage>,
@@ -43,7 +44,7 @@
 }
 
 /// A task that the core tracks, with the handles of its shots.
-struct InHand {
+struct TrackedTask {
     id: TaskId,
     task: Arc<Task>,
     shots: Vec<Arc<ShotHandle>>,
@@ -52,7 +53,7 @@
 struct Owner {
     shared: Arc<Shared>,
     core: Core,
-    tasks: Vec<Option<InHand>>,
+    tasks: Vec<Option<TrackedTask>>,
     endpoints: Vec<Option<Arc<Endpoint>>>,
     outputs: Vec<Output>,
     /// When the host estimates were last logged.
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Logs what the decisions believe of each host, next to the attempts that are in flight on its sockets,
+    /// Logs the decisions' estimates of each host, next to the attempts that are in flight on its sockets,
     /// if debug lines are enabled.
     fn log_host_estimates(&mut self) {
         let now = self.shared.now();
@@ -127,12 +128,12 @@
         task.set_id(id);
         let slot = id.slot as usize;
         self.tasks.resize_with(self.tasks.len().max(slot + 1), || None);
-        self.tasks[slot] = Some(InHand { id, task: task.clone(), shots: Vec::new() });
+        self.tasks[slot] = Some(TrackedTask { id, task: task.clone(), shots: Vec::new() });
         self.core.start_task(now, id, &task.request, outputs);
     }
 
-    fn task_in_hand(&mut self, id: TaskId) -> Option<&mut InHand> {
-        self.tasks.get_mut(id.slot as usize)?.as_mut().filter(|in_hand| in_hand.id == id)
+    fn tracked_task(&mut self, id: TaskId) -> Option<&mut TrackedTask> {
+        self.tasks.get_mut(id.slot as usize)?.as_mut().filter(|tracked| tracked.id == id)
     }
 
     /// The endpoint of a host, by its index.
@@ -155,10 +156,10 @@
             Output::Send { task, shot, host, kind, deadline, send_by, .. } => {
                 let endpoint = self.endpoint(host);
                 let shared = self.shared.clone();
-                let Some(in_hand) = self.task_in_hand(task) else { return };
+                let Some(tracked) = self.tracked_task(task) else { return };
                 let handle = Arc::new(ShotHandle::default());
-                in_hand.shots.push(handle.clone());
-                let (shot_task, reads) = (in_hand.task.clone(), kind == ShotKind::Read);
+                tracked.shots.push(handle.clone());
+                let (shot_task, reads) = (tracked.task.clone(), kind == ShotKind::Read);
                 let (deadline, send_by) = (shared.start + deadline, shared.start + send_by);
                 let attempt = Attempt {
                     shared,
@@ -175,12 +176,12 @@
             }
             Output::Cancel { task, shot } => {
                 if let Some(handle) =
-                    self.task_in_hand(task).and_then(|in_hand| in_hand.shots.get(shot as usize))
+                    self.tracked_task(task).and_then(|tracked| tracked.shots.get(shot as usize))
                 {
                     handle.cancel();
                 }
             }
-            // A state has the id of its task.
+            // A held state is identified by the id of its request.
             Output::Release { held, confirmed, reason } => {
                 let server = self.core.host_name(held.host).unwrap_or_default().to_owned();
                 let release =
@@ -188,18 +189,18 @@
                 spawn(move || release.run());
             }
             Output::Bounce { task, retry_after } => {
-                let Some(in_hand) = self.task_in_hand(task) else { return };
-                if in_hand.task.close() {
-                    let _ = in_hand.task.inbox.send(Message::Bounced { id: task, retry_after });
+                let Some(tracked) = self.tracked_task(task) else { return };
+                if tracked.task.close() {
+                    let _ = tracked.task.inbox.send(Message::Bounced { id: task, retry_after });
                 }
             }
             Output::BreakOff { task } => {
-                let Some(in_hand) = self.task_in_hand(task) else { return };
-                if in_hand.task.close() {
-                    let (id, attempts) = (&in_hand.task.call.id, in_hand.shots.len());
-                    let ms = in_hand.task.arrived.elapsed().as_millis() as u64;
+                let Some(tracked) = self.tracked_task(task) else { return };
+                if tracked.task.close() {
+                    let (id, attempts) = (&tracked.task.call.id, tracked.shots.len());
+                    let ms = tracked.task.arrived.elapsed().as_millis() as u64;
                     tracing::info!(id, attempts, ms, "broken off: an attempt may have run");
-                    let _ = in_hand.task.inbox.send(Message::BrokenOff { id: task });
+                    let _ = tracked.task.inbox.send(Message::BrokenOff { id: task });
                 }
             }
             Output::FirstPossibleRun { .. } => {}
@@ -207,7 +208,7 @@
                 tracing::info!(host = self.core.host_name(host).unwrap_or("a host"), "{what}");
             }
             Output::Forget { task } => {
-                if self.task_in_hand(task).is_some() {
+                if self.tracked_task(task).is_some() {
                     self.tasks[task.slot as usize] = None;
                     self.shared.unsettled.fetch_sub(1, Ordering::SeqCst);
                 }
--- a/crates/node/src/registry.rs
+++ b/crates/node/src/registry.rs
@@ -29,8 +29,9 @@
     versions: VersionFilter,
     /// The version that the known hosts are as of, if it is one of this registry.
     list_seq: Option<u64>,
-    /// Consecutive requests that were rejected, and first requests of a watch that timed out.
+    /// Consecutive requests that were rejected.
     rejections: u32,
+    /// Consecutive first requests of a watch that timed out.
     first_timeouts: u32,
 }
 
@@ -93,7 +94,7 @@
     registry.0 = address;
 }
 
-/// Sends one request. `within` limits the time to the start of the answer, `rest` that of the rest.
+/// Sends one request. `within` limits the time to the start of the answer, `rest` the time from there to its end.
 fn send_request(
     link: &mut Option<Link>,
     request: &str,
@@ -130,7 +131,7 @@
 ) -> Result<(), RequestError> {
     let mut link = None;
     let mut watched_seq = None;
-    let first_until = Instant::now() + timeouts.answer_start_after_timeouts(state.first_timeouts);
+    let first_answer_by = Instant::now() + timeouts.answer_start_after_timeouts(state.first_timeouts);
     loop {
         if link.is_none() {
             let new = Link::connect(&address, shared.connect_timeout.min(timeouts.answer_start))?;
@@ -143,7 +144,7 @@
         }
         // After a failure the whole list is requested, or only the changes where the whole list is expensive.
         let resume_from = timeouts.resume_wait.zip(state.list_seq).map(|(wait, seq)| (seq, wait));
-        let first_time_left = first_until.saturating_duration_since(Instant::now());
+        let first_time_left = first_answer_by.saturating_duration_since(Instant::now());
         let (newer_than, within) = match watched_seq {
             None => (resume_from, first_time_left + resume_from.map_or(Duration::ZERO, |(_, wait)| wait)),
             Some(seq) => (Some((seq, timeouts.watch_wait)), timeouts.watch_wait + timeouts.watch_slack),
--- a/crates/node/src/task.rs
+++ b/crates/node/src/task.rs
@@ -29,7 +29,9 @@
     /// A weak reference: the connection ends with its coroutines, whatever attempts are still pending.
     client: Weak<Client>,
     pub inbox: Sender<Message>,
+    /// Its id in the core as slot and generation; `u64::MAX` until it has one.
     packed_id: AtomicU64,
+    /// `OPEN`, `CLOSED`, or the shot that answers the client, counted from `FIRST_SHOT`.
     answer: AtomicU32,
 }
 
